--- a/src/cinderspoke/gateway/ask.rs
+++ b/src/cinderspoke/gateway/ask.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use super::knowledge::Knowledge;
 use super::message::{Datagram, pack, send};
+use super::state::State;
 use super::target::Target;
 use crate::util::clock::Clock;
 
@@ -102,7 +102,7 @@
 }
 
 /// Gives a place back that was asked for under a number.
-pub fn give_back(target: &Arc<Target>, number: u64, knowledge: &Knowledge) {
+pub fn give_back(target: &Arc<Target>, number: u64, state: &State) {
     target.tracking().load.open.decided(number);
-    knowledge.untold().add(target);
+    state.untold().add(target);
 }
--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -91,7 +91,7 @@
         asked: &Asked,
         record: &mut Record,
     ) -> Result<Chosen, Duration> {
-        let view = context.knowledge.view();
+        let view = context.state.view();
         let members = view.members(&asked.service);
         let mut search = Search::default();
         let mut places: Vec<Place> = Vec::new();
@@ -105,8 +105,7 @@
                     let targets = numbers.iter().map(|number| Arc::clone(&members[*number].target));
                     let targets: Vec<_> = targets.collect();
                     let prompt = asked.call.size.prompt;
-                    let number =
-                        context.knowledge.asker().ask(&targets, prompt, context.clock).await;
+                    let number = context.state.asker().ask(&targets, prompt, context.clock).await;
                     places.extend(targets.into_iter().map(|target| Place { target, number }));
                     continue;
                 }
@@ -196,7 +195,7 @@
             view,
             engine: view.engine(&asked.service),
             residency: residency(asked, view),
-            cold: context.knowledge.cold_bound(view, &asked.service),
+            cold: context.state.cold_bound(view, &asked.service),
             reach,
             now: context.clock.now(),
         }
@@ -231,7 +230,7 @@
         if chosen.is_some_and(|chosen| Arc::ptr_eq(chosen, &target)) {
             kept = Some(number);
         } else {
-            give_back(&target, number, &context.knowledge);
+            give_back(&target, number, &context.state);
         }
     }
     kept
@@ -363,7 +362,7 @@
             return false;
         };
         let endpoint = Key::of(member.target.name.as_str());
-        let share = bound.share(endpoint, self.context.knowledge.key(), &self.view.others);
+        let share = bound.share(endpoint, self.context.state.key(), &self.view.others);
         tracking.sends.count(self.now) >= share
     }
 
@@ -461,6 +460,6 @@
     /// How much longer a version may begin requests; none while it is the newest.
     fn version_left(&self, version: Version, narrow: bool) -> Option<Duration> {
         let model = self.asked.call.model.as_ref()?;
-        self.context.knowledge.version_left(model, version, narrow)
+        self.context.state.version_left(model, version, narrow)
     }
 }
--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -13,13 +13,13 @@
 use cinderspoke_ports::gateway::Dialect;
 use tokio_util::sync::CancellationToken;
 
-use super::knowledge::Knowledge;
+use super::state::State;
 use crate::util::clock::Clock;
 
 /// What answering requests needs.
 pub struct Context {
     /// What is known.
-    pub knowledge: Arc<Knowledge>,
+    pub state: Arc<State>,
     /// How requests are spelled.
     pub dialect: Arc<dyn Dialect>,
     /// The process's clock.
@@ -57,9 +57,9 @@
 impl Context {
     /// A context for a gateway that has just started.
     #[must_use]
-    pub fn new(knowledge: Arc<Knowledge>, dialect: Arc<dyn Dialect>, clock: Clock) -> Self {
+    pub fn new(state: Arc<State>, dialect: Arc<dyn Dialect>, clock: Clock) -> Self {
         Self {
-            knowledge,
+            state,
             dialect,
             clock,
             leaving: AtomicBool::new(false),
@@ -76,7 +76,7 @@
     /// Whether the gateway takes new connections.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let view = self.knowledge.view();
+        let view = self.state.view();
         let knows = view.catalog.is_some() && view.knows_emptied && !view.members.is_empty();
         !self.is_leaving() && knows
     }
@@ -124,7 +124,7 @@
     /// What callers may send.
     #[must_use]
     pub fn limits(&self) -> Limits {
-        let view = self.knowledge.view();
+        let view = self.state.view();
         view.catalog.as_ref().map_or_else(Limits::default, |catalog| catalog.declared().limits)
     }
 
@@ -153,7 +153,7 @@
 
     /// Takes in that a request for a service came, which earns sends beyond the first.
     pub fn earn_repeat(&self, service: &Service) {
-        let (now, terms) = (self.clock.now(), self.knowledge.terms().budget);
+        let (now, terms) = (self.clock.now(), self.state.terms().budget);
         self.budget(service, |budget| budget.request(now, &terms));
     }
 
@@ -175,8 +175,8 @@
 
     /// Whether another send of a request is within the budget; counts it if it is.
     pub fn spend_repeat(&self, service: &Service) -> bool {
-        let (now, terms) = (self.clock.now(), self.knowledge.terms().budget);
-        let gateways = self.knowledge.view().gateways;
+        let (now, terms) = (self.clock.now(), self.state.terms().budget);
+        let gateways = self.state.view().gateways;
         self.budget(service, |budget| {
             let affords = budget.affords(now, &terms, gateways);
             if affords {
--- a/src/cinderspoke/gateway/crash.rs
+++ b/src/cinderspoke/gateway/crash.rs
@@ -64,7 +64,7 @@
         sent,
         broke: context.clock.now(),
     };
-    let is_suspected = context.knowledge.suspects().is_suspected(broken.fingerprint);
+    let is_suspected = context.state.suspects().is_suspected(broken.fingerprint);
     let looking = tokio::spawn(async move {
         if broken.has_ended().await {
             broken.ended();
@@ -94,7 +94,7 @@
             sent: self.sent,
             broke: self.broke,
         };
-        let news = self.context.knowledge.crashed(self.fingerprint, &crash);
+        let news = self.context.state.crashed(self.fingerprint, &crash);
         tracing::info!(
             id = %self.request,
             endpoint = %self.target.name,
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -69,7 +69,7 @@
                 relay.fetch_from_others().await;
                 relay.awaiting_configuration.store(false, Ordering::SeqCst);
                 // What was told just before that began no other draw.
-                let is_done = relay.knowledge.next_step(0.0) == Step::Rest;
+                let is_done = relay.state.next_step(0.0) == Step::Rest;
                 if is_done || relay.awaiting_configuration.swap(true, Ordering::SeqCst) {
                     return;
                 }
@@ -80,7 +80,7 @@
     /// Asks one gateway after the other until none is known that has a newer configuration.
     async fn fetch_from_others(&self) {
         loop {
-            let (gateway, pause) = match self.knowledge.next_step(rand::random()) {
+            let (gateway, pause) = match self.state.next_step(rand::random()) {
                 Step::AskNear(gateway) => (gateway, NEAR_PAUSE),
                 Step::AskFar(gateway) => (gateway, FAR_PAUSE),
                 Step::Wait(time) => {
@@ -89,10 +89,10 @@
                 }
                 Step::Rest => return,
             };
-            self.knowledge.asked_gateway(gateway);
-            if self.knowledge.role() == Role::Reader {
+            self.state.asked_gateway(gateway);
+            if self.state.role() == Role::Reader {
                 // The store's own word should be here by now.
-                self.knowledge.doubt();
+                self.state.doubt();
             }
             if let Err(error) = self.fetch(gateway, pause).await {
                 tracing::debug!(%gateway, error = format!("{error:#}"), "asking a gateway");
@@ -103,8 +103,8 @@
     /// Asks a gateway for a newer list of endpoints, unless that comes by itself in time or
     /// is waited for already; one of the own region goes before one of another.
     pub(super) fn fetch_list(self: &Arc<Self>, from: SocketAddr, known: &Known) {
-        let is_near = self.knowledge.is_neighbour(from);
-        let due = self.knowledge.clock().now() + self.list_patience(is_near);
+        let is_near = self.state.is_neighbour(from);
+        let due = self.state.clock().now() + self.list_patience(is_near);
         let mut awaited = self.awaited_list();
         if let Some(awaited) = &mut *awaited {
             if is_near && !awaited.is_near {
@@ -124,7 +124,7 @@
 
     /// How long the list of endpoints is waited for before a gateway is asked for it.
     fn list_patience(&self, is_near: bool) -> Duration {
-        match self.knowledge.role() {
+        match self.state.role() {
             Role::Reader => OWN_LIST,
             Role::Follower if is_near => NEAR_LIST.mul_f64(rand::random()),
             Role::Follower => FAR_LIST,
@@ -133,7 +133,7 @@
 
     /// Whether the time to ask for the newer list is yet to come.
     fn is_list_awaited(&self) -> bool {
-        let now = self.knowledge.clock().now();
+        let now = self.state.clock().now();
         self.awaited_list().as_ref().is_some_and(|awaited| awaited.due > now)
     }
 
@@ -144,11 +144,11 @@
         }
         let awaited = self.awaited_list().take();
         let Some(Awaited { from, known, is_near, .. }) = awaited else { return };
-        if !knows_more(&known, &self.knowledge.known()) {
+        if !knows_more(&known, &self.state.known()) {
             return;
         }
-        if self.knowledge.role() == Role::Reader {
-            self.knowledge.doubt();
+        if self.state.role() == Role::Reader {
+            self.state.doubt();
         }
         let pause = if is_near { NEAR_PAUSE } else { FAR_PAUSE };
         if let Err(error) = self.fetch(from, pause).await {
@@ -159,7 +159,7 @@
     /// Asks a gateway for what it knows more; for the whole configuration where what differs
     /// does not fit.
     async fn fetch(&self, from: SocketAddr, pause: Duration) -> Result<()> {
-        let (_, held) = self.knowledge.configuration_held();
+        let (_, held) = self.state.configuration_held();
         let facts = self.ask(from, pause, held).await?;
         if let Err(misfit) = self.take_in(facts) {
             tracing::warn!(%from, %misfit, "a configuration does not fit");
@@ -171,7 +171,7 @@
     /// Asks a gateway for what it knows more, with the hash of the configuration by which it
     /// may tell the newer one.
     async fn ask(&self, from: SocketAddr, pause: Duration, held: Hash) -> Result<Facts> {
-        let known = self.knowledge.known();
+        let known = self.state.known();
         let path = format!(
             "/v1/facts?configuration={}&configuration_hash={}&directory={}&directory_hash={}",
             known.configuration, held.0, known.directory.0, known.directory_hash,
@@ -185,18 +185,18 @@
             draw::came("gateway", &from.to_string(), version, &progress);
         }
         self.meet(facts.gateways.clone()).await;
-        self.knowledge.told_suspects(&facts.suspects);
+        self.state.told_suspects(&facts.suspects);
         Ok(facts)
     }
 
     /// Takes in what a gateway told.
     fn take_in(&self, facts: Facts) -> Result<(), Misfit> {
-        let known = self.knowledge.known();
+        let known = self.state.known();
         if let Some(directory) = facts.directory.filter(|list| list.revision > known.directory) {
-            self.knowledge.listed(directory, "gateway");
+            self.state.listed(directory, "gateway");
         }
         match facts.configuration {
-            Some(configuration) => self.knowledge.told_configuration(configuration),
+            Some(configuration) => self.state.told_configuration(configuration),
             None => Ok(()),
         }
     }
@@ -228,13 +228,13 @@
 
 /// Tells another gateway all that it may not know.
 pub(super) async fn tell(State(relay): State<Arc<Relay>>, Query(asked): Query<Asked>) -> Bytes {
-    let knowledge = &relay.knowledge;
+    let state = &relay.state;
     let held = Hash(asked.configuration_hash);
     let facts = Facts {
-        configuration: knowledge.configuration_after(asked.configuration, held),
-        directory: knowledge.directory_after(Revision(asked.directory), asked.directory_hash),
-        gateways: knowledge.names(relay.others()),
-        suspects: knowledge.suspects().tell_all(knowledge.clock().now()),
+        configuration: state.configuration_after(asked.configuration, held),
+        directory: state.directory_after(Revision(asked.directory), asked.directory_hash),
+        gateways: state.names(relay.others()),
+        suspects: state.suspects().tell_all(state.clock().now()),
     };
     pack(&facts).into()
 }
--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -23,10 +23,10 @@
 use tokio_util::sync::CancellationToken;
 
 use super::draw;
-use super::knowledge::Knowledge;
 use super::source::{
     Answer, Configuration, Endpoints, Evacuations, LOOK_AT_ROLE, Shared, Source, Versions,
 };
+use super::state::State;
 use crate::util::clock::Clock;
 use crate::util::settings::inner_address;
 use crate::util::stop;
@@ -55,25 +55,25 @@
 
 /// Starts the tasks that follow the store.
 pub fn spawn(
-    knowledge: &Arc<Knowledge>,
+    state: &Arc<State>,
     registry: &Arc<dyn Registry>,
     settings: &settings::Node,
     token: CancellationToken,
 ) {
-    let shared = || Shared { knowledge: Arc::clone(knowledge), registry: Arc::clone(registry) };
+    let shared = || Shared { state: Arc::clone(state), registry: Arc::clone(registry) };
     let mut sources: Vec<Box<dyn Source>> = vec![
         Box::new(Configuration(shared())),
         Box::new(Versions(shared())),
         Box::new(Endpoints(shared())),
     ];
-    if knowledge.terms().evacuates {
+    if state.terms().evacuates {
         sources.push(Box::new(Evacuations(shared())));
     }
     for source in sources {
-        let knowledge = Arc::clone(knowledge);
-        tokio::spawn(stop::until(token.clone(), follow(source, knowledge)));
+        let state = Arc::clone(state);
+        tokio::spawn(stop::until(token.clone(), follow(source, state)));
     }
-    tokio::spawn(stop::until(token.clone(), settle(Arc::clone(knowledge))));
+    tokio::spawn(stop::until(token.clone(), settle(Arc::clone(state))));
     let own = inner_address(settings);
     let meet = meet(shared(), settings.instance.to_string(), own);
     tokio::spawn(stop::until(token, meet));
@@ -97,8 +97,8 @@
 }
 
 /// Reads a kind of fact and then watches it, whatever fails.
-async fn follow(source: Box<dyn Source>, knowledge: Arc<Knowledge>) {
-    let clock = knowledge.clock();
+async fn follow(source: Box<dyn Source>, state: Arc<State>) {
+    let clock = state.clock();
     let mut revision = None;
     // Whether the store has dropped its history, so that all has to be read.
     let mut is_forgotten = false;
@@ -125,7 +125,7 @@
         let limit = revision.map_or(Duration::ZERO, |_| wait) + MARGIN;
         let silence = Silence { clock, progress: &progress, limit };
         let asked = tokio::select! {
-            asked = ask(&mut call, &mut late, &knowledge, &watch, silence) => asked,
+            asked = ask(&mut call, &mut late, &state, &watch, silence) => asked,
             () = source.needless(), if revision.is_some() => Asked::Needless,
         };
         match asked {
@@ -135,7 +135,7 @@
                     watch.give_up();
                 }
                 let before = revision;
-                revision = take_in(answer, &*source, &knowledge, &mut watch);
+                revision = take_in(answer, &*source, &state, &mut watch);
                 is_forgotten = revision.is_none();
                 source.answered(true);
                 late.clear();
@@ -147,21 +147,21 @@
                 let due = clock.now();
                 watch.fail(due);
                 source.answered(false);
-                knowledge.platform_failed(due);
+                state.platform_failed(due);
                 draw::given_up(source.name(), &progress);
-                tell_failure(&*source, &knowledge, &watch, &error);
+                tell_failure(&*source, &state, &watch, &error);
                 sleep(backoff(&error, watch.failures())).await;
             }
             Asked::Silent(limit) => {
                 let due = clock.now().saturating_sub(MARGIN);
                 watch.fail(due);
                 source.answered(false);
-                knowledge.platform_failed(due);
+                state.platform_failed(due);
                 let error = Error::Unavailable(format!("no answer within {limit:?}"));
-                tell_failure(&*source, &knowledge, &watch, &error);
+                tell_failure(&*source, &state, &watch, &error);
                 if revision.is_some() && watch.failures() == 1 {
                     // What silenced this watch may have silenced the others.
-                    knowledge.doubt();
+                    state.doubt();
                 }
                 late.push_back(call);
                 late.drain(..late.len().saturating_sub(LATE_CALLS));
@@ -238,11 +238,11 @@
 async fn ask<'a>(
     call: &mut Call<'a>,
     late: &mut VecDeque<Call<'a>>,
-    knowledge: &Knowledge,
+    state: &State,
     watch: &Watch,
     silence: Silence<'_>,
 ) -> Asked<'a> {
-    let mut doubts = knowledge.doubts();
+    let mut doubts = state.doubts();
     let overtaken = async {
         // A store that does not answer is not hurried.
         if watch.failures() > 0 {
@@ -280,19 +280,19 @@
 fn take_in(
     answer: Answer<'_>,
     source: &dyn Source,
-    knowledge: &Arc<Knowledge>,
+    state: &Arc<State>,
     watch: &mut Watch,
 ) -> Option<Revision> {
-    let now = knowledge.clock().now();
+    let now = state.clock().now();
     let (failures, unheard) = (watch.failures(), watch.unheard(now));
     if failures > 0 {
         let (kind, unheard_ms) = (source.name(), unheard.as_millis() as u64);
         tracing::info!(kind, failures, unheard_ms, "store answers again");
     }
     if failures >= AWAY {
-        knowledge.platform_returned();
+        state.platform_returned();
     }
-    knowledge.platform_answered();
+    state.platform_answered();
     let revision = answer(watch.freshness(now));
     match revision {
         Some(_) => watch.hear(now),
@@ -302,33 +302,33 @@
 }
 
 /// Tells of a failure, and of the store's loss when it is the second in a row.
-fn tell_failure(source: &dyn Source, knowledge: &Knowledge, watch: &Watch, error: &Error) {
+fn tell_failure(source: &dyn Source, state: &State, watch: &Watch, error: &Error) {
     let kind = source.name();
     if watch.failures() == 1 {
-        let unheard_ms = watch.unheard(knowledge.clock().now()).as_millis() as u64;
+        let unheard_ms = watch.unheard(state.clock().now()).as_millis() as u64;
         tracing::info!(kind, unheard_ms, %error, "store did not answer");
     }
     if watch.failures() == AWAY {
-        knowledge.platform_lost(watch.away_since());
+        state.platform_lost(watch.away_since());
         tracing::warn!(kind, %error, "store lost");
     }
 }
 
 /// Gives up entries that are kept around an outage as each has had its time.
-async fn settle(knowledge: Arc<Knowledge>) {
-    let mut kept = knowledge.entries_kept();
+async fn settle(state: Arc<State>) {
+    let mut kept = state.entries_kept();
     loop {
-        match knowledge.next_settled() {
+        match state.next_settled() {
             None => kept.changed().await,
             Some(due) => {
-                let left = due.saturating_sub(knowledge.clock().now());
+                let left = due.saturating_sub(state.clock().now());
                 tokio::select! {
                     () = kept.changed() => {}
-                    () = knowledge.clock().sleep(left) => {}
+                    () = state.clock().sleep(left) => {}
                 }
             }
         }
-        knowledge.settle();
+        state.settle();
     }
 }
 
@@ -345,9 +345,9 @@
 
 /// Waits until this gateway reads for its region, or has heard of no other when the others had
 /// time to say who they are.
-pub(super) async fn reads_or_is_alone(knowledge: &Knowledge) {
+pub(super) async fn reads_or_is_alone(state: &State) {
     sleep(ALONE).await;
-    while knowledge.role() == Role::Follower && knowledge.view().gateways > 1 {
+    while state.role() == Role::Follower && state.view().gateways > 1 {
         sleep(LOOK_AT_ROLE).await;
     }
 }
@@ -358,7 +358,7 @@
 /// The rest are known by digests. Were all to do so, the calls at a start of all would grow with
 /// the square of their number: a list has as many pages as there are hundreds of gateways.
 async fn meet(shared: Shared, name: String, own: SocketAddr) {
-    reads_or_is_alone(&shared.knowledge).await;
+    reads_or_is_alone(&shared.state).await;
     let mut failures = 0;
     loop {
         let met = async {
@@ -368,7 +368,7 @@
         match met.await {
             Ok(gateways) => {
                 let others = gateways.into_iter().filter(|gateway| *gateway != own);
-                others.for_each(|gateway| _ = shared.knowledge.met(gateway, false));
+                others.for_each(|gateway| _ = shared.state.met(gateway, false));
                 return;
             }
             Err(error) => {
--- a/src/cinderspoke/gateway/holds.rs
+++ b/src/cinderspoke/gateway/holds.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use super::follow::reads_or_is_alone;
-use super::knowledge::Knowledge;
+use super::state::State;
 
 /// How long after a failure the store is asked again.
 const BACKOFF: Duration = Duration::from_millis(700);
@@ -66,11 +66,11 @@
 }
 
 /// Learns from the store what is held back, and tells it, whatever fails.
-pub async fn keep(knowledge: Arc<Knowledge>, store: Arc<dyn Holds>) {
-    let due = knowledge.suspects().due();
+pub async fn keep(state: Arc<State>, store: Arc<dyn Holds>) {
+    let due = state.suspects().due();
     let mut look_at = None;
     let mut looked = Instant::now();
-    let mut first = pin!(reads_or_is_alone(&knowledge));
+    let mut first = pin!(reads_or_is_alone(&state));
     let mut is_first = true;
     loop {
         let next_look = look_at.unwrap_or_else(Instant::now);
@@ -78,7 +78,7 @@
             () = due.added.notified() => {}
             () = &mut first, if is_first => (look_at, is_first) = (Some(Instant::now()), false),
             () = sleep_until(next_look), if look_at.is_some() => {
-                look_at = look(&knowledge, &*store).await;
+                look_at = look(&state, &*store).await;
                 looked = Instant::now();
             }
         }
@@ -98,8 +98,8 @@
 }
 
 /// Looks into the store; gives when to look again, if it did not answer.
-async fn look(knowledge: &Knowledge, store: &dyn Holds) -> Option<Instant> {
-    let error = learn(knowledge, store).await.err()?;
+async fn look(state: &State, store: &dyn Holds) -> Option<Instant> {
+    let error = learn(state, store).await.err()?;
     tracing::info!(%error, "the store did not say what is held back");
     Some(Instant::now() + BACKOFF)
 }
@@ -109,10 +109,10 @@
 }
 
 /// Learns what is held back, and has the store keep no more than the newest of it.
-async fn learn(knowledge: &Knowledge, store: &dyn Holds) -> Result<(), Error> {
+async fn learn(state: &State, store: &dyn Holds) -> Result<(), Error> {
     let held = store.held().await?;
     let (old, kept) = held.split_at(held.len().saturating_sub(MOST_KEPT));
-    knowledge.found_held(kept);
+    state.found_held(kept);
     for request in old {
         store.release(*request).await?;
     }
--- a/src/cinderspoke/gateway/belief.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -30,7 +30,7 @@
 // addresses that it names, `by_address` the same targets, and `directory_hash`
 // is that of the list.
 #[derive(Default)]
-pub struct Belief {
+pub struct Inner {
     /// The configuration; none before the first.
     pub configuration: Fact<Option<Arc<Catalog>>>,
     /// Those that were in force before it, the oldest first: what differs is told by them.
@@ -70,7 +70,7 @@
     pub gateways: BTreeMap<SocketAddr, Duration>,
 }
 
-impl Belief {
+impl Inner {
     /// The version of the configuration in force; zero for none.
     #[must_use]
     pub fn version(&self) -> u64 {
--- a/src/cinderspoke/gateway/mod.rs
+++ b/src/cinderspoke/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! The program on an entry instance of a platform that keeps configuration,
 //! versions and the list of endpoints.
 //!
-//! - [`knowledge`] keeps the facts of its [`belief`] and shows them to requests
+//! - [`state`] keeps the facts of its [`inner`] and shows them to requests
 //!   in a [`view`]; what it asks of decisions is in [`terms`].
 //! - [`follow`] learns facts from the platform, each kind from a [`source`]; [`relay`] tells
 //!   other gateways and [`agents`] of them in a [`message`], and asks a gateway for [`facts`]
@@ -24,7 +24,6 @@
 pub mod agents;
 pub mod answer;
 pub mod ask;
-pub mod belief;
 pub mod choose;
 pub mod context;
 pub mod crash;
@@ -34,7 +33,7 @@
 pub mod forward;
 pub mod head;
 pub mod holds;
-pub mod knowledge;
+pub mod inner;
 pub mod message;
 pub mod notices;
 pub mod outstanding;
@@ -49,6 +48,7 @@
 pub mod serve;
 pub mod socket;
 pub mod source;
+pub mod state;
 pub mod stream;
 pub mod subset;
 pub mod suspects;
@@ -70,8 +70,8 @@
 use tokio_util::sync::CancellationToken;
 
 use self::context::Context;
-use self::knowledge::Knowledge;
 use self::relay::Relay;
+use self::state::State;
 use self::terms::Terms;
 use crate::util::clock::Clock;
 use crate::util::http::Client;
@@ -122,9 +122,9 @@
         let listen = settings.listen.as_ref().context("the settings name no place to listen")?;
         let clock = Clock::start();
         let terms = Terms::new(settings);
-        let knowledge = Arc::new(Knowledge::new(settings, terms, clock));
+        let state = Arc::new(State::new(settings, terms, clock));
         let stop = CancellationToken::new();
-        let context = Arc::new(Context::new(Arc::clone(&knowledge), parts.dialect, clock));
+        let context = Arc::new(Context::new(Arc::clone(&state), parts.dialect, clock));
         let callers = listen::tcp(listen.callers).await?;
         let ready = listen::tcp(listen.ready).await?;
         let control = listen::tcp(listen.control).await?;
@@ -135,13 +135,13 @@
             let app = serve::admin(Arc::clone(&context), parts.metrics.clone());
             tokio::spawn(serve::router(listener, app, stop.clone()));
         }
-        let relay = Relay::new(settings, Arc::clone(&knowledge), parts.client, socket);
+        let relay = Relay::new(settings, Arc::clone(&state), parts.client, socket);
         let relay = Arc::new(relay);
         let app = relay.app().merge(serve::scraped(parts.metrics));
         tokio::spawn(serve::router(inner, app, stop.clone()));
         relay.spawn(stop.clone());
-        follow::spawn(&knowledge, &parts.registry, settings, stop.clone());
-        let holds = holds::keep(Arc::clone(&knowledge), parts.holds);
+        follow::spawn(&state, &parts.registry, settings, stop.clone());
+        let holds = holds::keep(Arc::clone(&state), parts.holds);
         tokio::spawn(until(stop.clone(), holds));
         tracing::info!(instance = %*settings.instance, callers = %listen.callers, "gateway started");
         Ok(Self { context, stop })
@@ -149,16 +149,16 @@
 
     /// Goes by other settings, in what may change while it runs.
     pub fn reload(&self, settings: &settings::Node) {
-        self.context.knowledge.asked(Terms::new(settings));
+        self.context.state.asked(Terms::new(settings));
     }
 
     /// Stops in order: no request in progress is cut off, and no answer on its way.
     pub async fn stop(self) {
-        let (began, grace) = (Instant::now(), self.context.knowledge.terms().grace);
+        let (began, grace) = (Instant::now(), self.context.state.terms().grace);
         let end = began + grace.saturating_sub(MARGIN);
         tracing::info!(in_progress = self.context.in_progress(), "stopping");
         self.context.leave();
-        self.context.knowledge.resign();
+        self.context.state.resign();
         sleep(UNNOTICED.min(grace / 2)).await;
         self.context.close_connections();
         let quiet = async {
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -7,7 +7,7 @@
 use cinderspoke_ports::gateway::AnswerHead;
 
 use super::context::Context;
-use super::knowledge::Knowledge;
+use super::state::State;
 use super::target::Target;
 use super::understand::Asked;
 
@@ -21,25 +21,25 @@
         if said.leaves && !target.leaves() {
             let (id, endpoint) = (&asked.call.id, &target.name);
             tracing::info!(%id, %endpoint, "an endpoint says that it leaves");
-            self.knowledge.leaves(target.run, "answer");
+            self.state.leaves(target.run, "answer");
         }
         if let Some(cold) = said.cold {
             target.is_cold_until(self.clock.now() + cold);
         }
         if let Some(rest) = said.rest {
-            self.knowledge.rests(target, rest);
+            self.state.rests(target, rest);
         }
     }
 }
 
-impl Knowledge {
+impl State {
     /// Takes in that a run of an endpoint leaves; it gets nothing more.
     fn leaves(&self, run: Run, from: &str) {
         let now = self.clock().now();
-        let mut state = self.lock();
-        if state.notices.leaves(run, now) {
-            self.leave(&mut state, &[run], from);
-            drop(state);
+        let mut inner = self.lock();
+        if inner.notices.leaves(run, now) {
+            self.leave(&mut inner, &[run], from);
+            drop(inner);
             self.tell_others();
         }
     }
@@ -58,11 +58,11 @@
             return;
         }
         let now = self.clock().now();
-        let mut state = self.lock();
-        let news = state.notices.merge(told, now);
+        let mut inner = self.lock();
+        let news = inner.notices.merge(told, now);
         if !news.is_empty() {
-            self.leave(&mut state, &news, "gateway");
-            drop(state);
+            self.leave(&mut inner, &news, "gateway");
+            drop(inner);
             self.tell_others();
         }
     }
@@ -71,10 +71,10 @@
     fn rests(&self, target: &Target, rest: Duration) {
         let until = self.clock().now().saturating_add(rest);
         target.wants_none_until(until);
-        let mut state = self.lock();
-        state.notices.rests(target.run, until);
+        let mut inner = self.lock();
+        inner.notices.rests(target.run, until);
         // Its entry may have gone and come back since the request was sent.
-        let known = state.targets.get(&target.name).filter(|known| known.run == target.run);
+        let known = inner.targets.get(&target.name).filter(|known| known.run == target.run);
         if let Some(known) = known {
             known.wants_none_until(until);
         }
--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -9,8 +9,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::knowledge::Knowledge;
 use super::message::{Datagram, pack, send};
+use super::state::State;
 use super::target::Target;
 
 /// How long changes gather before they are told: the news is of use for choices some
@@ -45,27 +45,27 @@
 }
 
 /// Tells agents of changes soon, and from time to time of what stays.
-pub async fn tell(knowledge: &Knowledge, socket: &UdpSocket, own: SocketAddr) {
-    let untold = knowledge.untold();
+pub async fn tell(state: &State, socket: &UdpSocket, own: SocketAddr) {
+    let untold = state.untold();
     let mut repeat = Instant::now() + REPEAT;
     loop {
         if timeout_at(repeat, untold.added.notified()).await.is_ok() {
             sleep(GATHER).await;
         } else {
             repeat = Instant::now() + REPEAT;
-            knowledge.targets().iter().filter(|target| target.is_busy()).for_each(|target| {
+            state.targets().iter().filter(|target| target.is_busy()).for_each(|target| {
                 untold.add(target);
             });
         }
         for target in untold.take() {
-            tell_of(&target, knowledge, socket, own).await;
+            tell_of(&target, state, socket, own).await;
         }
     }
 }
 
 /// Tells an endpoint's agent, if it has one.
-async fn tell_of(target: &Target, knowledge: &Knowledge, socket: &UdpSocket, own: SocketAddr) {
-    let sent = knowledge.clock().now();
+async fn tell_of(target: &Target, state: &State, socket: &UdpSocket, own: SocketAddr) {
+    let sent = state.clock().now();
     let (agent, outstanding, decided_before) = {
         let mut tracking = target.tracking();
         let decided_before = tracking.load.open.decided_before(sent);
--- a/src/cinderspoke/gateway/plan.rs
+++ b/src/cinderspoke/gateway/plan.rs
@@ -6,8 +6,8 @@
 use cinderspoke_core::gateway::directory::{Directory, Entry};
 use cinderspoke_core::gateway::name::Service;
 
-use super::knowledge::Knowledge;
 use super::message::{Peer, Plan};
+use super::state::State;
 
 /// A plan's hash, and the number of the view that the plan is of.
 #[derive(Debug, Clone, Copy)]
@@ -18,22 +18,22 @@
 
 /// Makes plans, and keeps their hashes.
 pub struct Planner {
-    knowledge: Arc<Knowledge>,
+    state: Arc<State>,
     hashes: Mutex<HashMap<Service, Hashed>>,
 }
 
 impl Planner {
     /// A planner of what a gateway knows.
     #[must_use]
-    pub fn new(knowledge: Arc<Knowledge>) -> Self {
-        Self { knowledge, hashes: Mutex::default() }
+    pub fn new(state: Arc<State>) -> Self {
+        Self { state, hashes: Mutex::default() }
     }
 
     /// The hash of a service's plan, made anew only when something is known anew:
     /// it is asked for with each report.
     #[must_use]
     pub fn hash(&self, service: &Service) -> u64 {
-        let view = self.knowledge.view().number;
+        let view = self.state.view().number;
         let mut hashes = self.hashes.lock().unwrap_or_else(PoisonError::into_inner);
         match hashes.get(service) {
             Some(kept) if kept.view == view => kept.hash,
@@ -48,15 +48,15 @@
     /// What agents of a service have to know.
     #[must_use]
     pub fn plan(&self, service: &Service) -> Plan {
-        let view = self.knowledge.view();
-        let directory = self.knowledge.directory();
+        let view = self.state.view();
+        let directory = self.state.directory();
         let engine = view.engine(service);
         let models = engine.map(|engine| engine.models.iter().map(ToString::to_string).collect());
         let origins = view.catalog.as_ref().map(|catalog| catalog.origins().collect());
         Plan {
             revision: directory.revision,
             rollout: view.rollout.clone(),
-            ages: self.knowledge.ages(),
+            ages: self.state.ages(),
             models: models.unwrap_or_default(),
             origins: origins.unwrap_or_default(),
             peers: self.peers(&directory.value, service),
@@ -65,7 +65,7 @@
 
     /// The engines of a service, in the order of their addresses.
     fn peers(&self, directory: &Directory, service: &Service) -> Vec<Peer> {
-        let terms = self.knowledge.terms();
+        let terms = self.state.terms();
         let entries = directory.entries.values().filter(|entry| entry.service == *service);
         let peer = |entry: &Entry| Peer {
             engine: entry.address,
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -10,24 +10,24 @@
 use cinderspoke_core::gateway::name::Region;
 use cinderspoke_core::gateway::region::{Role, Standing, Step, Table, Tag};
 
-use super::knowledge::Knowledge;
 use super::message::{Configuration, Known, Named};
+use super::state::State;
 
-impl Knowledge {
+impl State {
     /// Takes in what another gateway says of itself and of its configuration; true when it
     /// was not heard of before.
     pub fn heard(&self, from: SocketAddr, known: &Known) -> bool {
         let (now, version) = (self.clock().now(), known.configuration);
-        let mut state = self.lock();
-        let is_new = state.region.hear(from, &known.standing, version, now);
-        let in_force = state.version();
+        let mut inner = self.lock();
+        let is_new = inner.region.hear(from, &known.standing, version, now);
+        let in_force = inner.version();
         if version == in_force {
             // It still is the newest then: history that is too old is forgotten.
-            let revision = state.configuration.revision.max(known.configuration_revision);
-            state.configuration.revision = revision;
+            let revision = inner.configuration.revision.max(known.configuration_revision);
+            inner.configuration.revision = revision;
         }
-        let is_news = state.lag.hear(version, now) && version > in_force;
-        drop(state);
+        let is_news = inner.lag.hear(version, now) && version > in_force;
+        drop(inner);
         if is_news {
             tracing::info!(version, in_force, %from, "a newer configuration is known");
         }
@@ -36,23 +36,23 @@
 
     /// Takes in that the store has no newer configuration at a revision.
     pub fn configuration_confirmed(&self, revision: Revision) {
-        let mut state = self.lock();
-        state.configuration.revision = state.configuration.revision.max(revision);
+        let mut inner = self.lock();
+        inner.configuration.revision = inner.configuration.revision.max(revision);
     }
 
     /// The last revision at which the configuration in force is known to be the newest; none
     /// without one.
     #[must_use]
     pub fn configuration_revision(&self) -> Option<Revision> {
-        let state = self.lock();
-        state.configuration.value.as_ref().map(|_| state.configuration.revision)
+        let inner = self.lock();
+        inner.configuration.value.as_ref().map(|_| inner.configuration.revision)
     }
 
     /// For how long a newer configuration than the one in force has been known to be.
     #[must_use]
     pub fn configuration_behind(&self) -> Duration {
-        let state = self.lock();
-        state.lag.behind(state.version(), self.clock().now())
+        let inner = self.lock();
+        inner.lag.behind(inner.version(), self.clock().now())
     }
 
     /// Whether a newer configuration is known, and those who were to tell it have not in time.
@@ -99,16 +99,16 @@
         let region = regions.into_iter().find(|region| gateway.region == Some(Tag::of(region)));
         let Some(region) = region else { return is_new };
         let now = self.clock().now();
-        let mut state = self.lock();
-        state.region.name(gateway.address, region, now);
-        is_new && state.region.is_neighbour(gateway.address)
+        let mut inner = self.lock();
+        inner.region.name(gateway.address, region, now);
+        is_new && inner.region.is_neighbour(gateway.address)
     }
 
     /// Some gateways as they are named to others.
     #[must_use]
     pub fn names(&self, gateways: impl IntoIterator<Item = SocketAddr>) -> Vec<Named> {
-        let state = self.lock();
-        let region = |gateway| state.region.region_of(gateway).map(Tag::of);
+        let inner = self.lock();
+        let region = |gateway| inner.region.region_of(gateway).map(Tag::of);
         let named = gateways.into_iter().map(|address| Named { address, region: region(address) });
         named.collect()
     }
@@ -141,8 +141,8 @@
     #[must_use]
     pub fn next_step(&self, draw: f64) -> Step {
         let (role, behind) = (self.role(), self.configuration_behind());
-        let state = self.lock();
-        state.region.step(state.version(), behind, role, self.clock().now(), draw)
+        let inner = self.lock();
+        inner.region.step(inner.version(), behind, role, self.clock().now(), draw)
     }
 
     /// Takes in that a gateway was asked for its configuration.
@@ -153,23 +153,23 @@
     /// The version of the configuration in force, and what tells it apart from others.
     #[must_use]
     pub fn configuration_held(&self) -> (u64, Hash) {
-        let state = self.lock();
-        let hash = state.configuration.value.as_ref().map(|catalog| catalog.hash());
-        (state.version(), hash.unwrap_or_default())
+        let inner = self.lock();
+        let hash = inner.configuration.value.as_ref().map(|catalog| catalog.hash());
+        (inner.version(), hash.unwrap_or_default())
     }
 
     /// The configuration, if it is newer than a version: what differs from the one with a
     /// hash, or all of it where that one is not known any more.
     #[must_use]
     pub fn configuration_after(&self, version: u64, held: Hash) -> Option<Fact<Configuration>> {
-        let state = self.lock();
-        let catalog = state.configuration.value.clone()?;
+        let inner = self.lock();
+        let catalog = inner.configuration.value.clone()?;
         if catalog.declared().version <= version {
             return None;
         }
-        let revision = state.configuration.revision;
-        let before = state.replaced.iter().find(|replaced| replaced.hash() == held).cloned();
-        drop(state);
+        let revision = inner.configuration.revision;
+        let before = inner.replaced.iter().find(|replaced| replaced.hash() == held).cloned();
+        drop(inner);
         let told = match before {
             Some(before) => Configuration::Changed(Difference::between(&before, &catalog)),
             None => Configuration::Whole(catalog.declared().clone()),
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -29,10 +29,10 @@
 
 use super::agents::Agents;
 use super::facts::{self, Awaited, knows_more};
-use super::knowledge::Knowledge;
 use super::message::{Datagram, Known, Named, buffer, pack, receive, send};
 use super::outstanding;
 use super::plan::Planner;
+use super::state;
 use crate::util::http::Client;
 use crate::util::metrics::CONFIGURATION_BEHIND;
 use crate::util::settings::inner_address;
@@ -54,7 +54,7 @@
 pub struct Relay {
     own: SocketAddr,
     region: Region,
-    pub(super) knowledge: Arc<Knowledge>,
+    pub(super) state: Arc<state::State>,
     pub(super) client: Client,
     socket: Arc<UdpSocket>,
     agents: Agents,
@@ -69,18 +69,18 @@
     #[must_use]
     pub fn new(
         settings: &settings::Node,
-        knowledge: Arc<Knowledge>,
+        state: Arc<state::State>,
         client: Client,
         socket: UdpSocket,
     ) -> Self {
         let own = inner_address(settings);
-        let planner = Planner::new(Arc::clone(&knowledge));
+        let planner = Planner::new(Arc::clone(&state));
         let (agents, socket) = (Agents::default(), Arc::new(socket));
-        knowledge.asker().attach(own, Arc::clone(&socket));
+        state.asker().attach(own, Arc::clone(&socket));
         Self {
             own,
             region: settings.region.as_str().into(),
-            knowledge,
+            state,
             client,
             socket,
             agents,
@@ -131,12 +131,12 @@
                     answers,
                 } => {
                     let endpoint = (service.clone(), engine);
-                    self.knowledge.reported(endpoint, from, report, told, answers.is_some());
+                    self.state.reported(endpoint, from, report, told, answers.is_some());
                     if let Some(number) = answers {
-                        self.knowledge.asker().answered(number);
+                        self.state.asker().answered(number);
                         continue;
                     }
-                    self.knowledge.told_ages(&ages, "agent");
+                    self.state.told_ages(&ages, "agent");
                     if echo {
                         let echo = Datagram::Echo { from: self.own, told };
                         send(&self.socket, from, &pack(&echo)).await;
@@ -158,16 +158,16 @@
         if from == self.own {
             return;
         }
-        self.knowledge.met(from, true);
-        let is_stranger = self.knowledge.heard(from, &known);
+        self.state.met(from, true);
+        let is_stranger = self.state.heard(from, &known);
         self.meet(others).await;
-        let own = self.knowledge.known();
-        self.knowledge.told_versions(&known.ages, known.rollout_revision);
-        self.knowledge.told_suspects(&known.suspects);
-        self.knowledge.told_leaving(&known.leaving);
-        self.knowledge.told_answers(&known.answers);
+        let own = self.state.known();
+        self.state.told_versions(&known.ages, known.rollout_revision);
+        self.state.told_suspects(&known.suspects);
+        self.state.told_leaving(&known.leaving);
+        self.state.told_answers(&known.answers);
         if let Some(emptied) = known.emptied.clone() {
-            self.knowledge.evacuated(emptied, "gateway");
+            self.state.evacuated(emptied, "gateway");
         }
         let is_behind = knows_more(&own, &known);
         if known.configuration > own.configuration {
@@ -184,7 +184,7 @@
     /// this region, so that each knows of the other.
     pub(super) async fn meet(&self, gateways: Vec<Named>) {
         for gateway in gateways.into_iter().filter(|gateway| gateway.address != self.own) {
-            if self.knowledge.introduced(gateway) {
+            if self.state.introduced(gateway) {
                 send(&self.socket, gateway.address, &self.digest()).await;
             }
         }
@@ -206,7 +206,7 @@
 
     /// Tells some gateways of news at once; they tell others.
     async fn push(self: Arc<Self>) {
-        let mut changes = self.knowledge.subscribe();
+        let mut changes = self.state.subscribe();
         loop {
             changes.changed().await;
             let digest = self.digest();
@@ -228,8 +228,8 @@
             let sampled = rand::seq::index::sample(&mut rand::rng(), gateways.len(), told);
             sampled.into_iter().map(move |number| gateways[number])
         };
-        let neighbours = sample(self.knowledge.neighbours());
-        if self.knowledge.tells_far() {
+        let neighbours = sample(self.state.neighbours());
+        if self.state.tells_far() {
             sample(self.others()).chain(neighbours).collect()
         } else {
             neighbours.collect()
@@ -250,9 +250,9 @@
         let mut told = Instant::now();
         loop {
             sleep(LOOK_AT_ROLE).await;
-            let before = std::mem::replace(&mut role, self.knowledge.role());
+            let before = std::mem::replace(&mut role, self.state.role());
             if role != before {
-                let behind_ms = self.knowledge.configuration_behind().as_millis() as u64;
+                let behind_ms = self.state.configuration_behind().as_millis() as u64;
                 match role {
                     Role::Reader => tracing::info!(behind_ms, "configuration is read here"),
                     Role::Follower => tracing::info!(behind_ms, "configuration is had from others"),
@@ -263,7 +263,7 @@
             }
             told = Instant::now();
             let digest = self.digest();
-            for neighbour in self.knowledge.neighbours() {
+            for neighbour in self.state.neighbours() {
                 send(&self.socket, neighbour, &digest).await;
             }
         }
@@ -274,10 +274,10 @@
         loop {
             let others = self.others();
             let targets = match others.len() {
-                0 => self.knowledge.terms().seeds.clone(),
+                0 => self.state.terms().seeds.clone(),
                 count => vec![others[rand::random_range(0..count)]],
             };
-            let behind = self.knowledge.configuration_behind();
+            let behind = self.state.configuration_behind();
             gauge!(CONFIGURATION_BEHIND).set(behind.as_secs_f64());
             let digest = self.digest();
             for target in targets {
@@ -289,7 +289,7 @@
 
     /// Tells agents what this gateway has outstanding at their engines.
     async fn tell_outstanding(self: Arc<Self>) {
-        outstanding::tell(&self.knowledge, &self.socket, self.own).await;
+        outstanding::tell(&self.state, &self.socket, self.own).await;
     }
 
     /// Has the agents of some engines report here.
@@ -298,7 +298,7 @@
         let mut ticks = interval(subset::RENEWAL);
         loop {
             ticks.tick().await;
-            for engine in self.knowledge.subset() {
+            for engine in self.state.subset() {
                 let agent = SocketAddr::new(engine.ip(), self.own.port());
                 send(&self.socket, agent, &subscribe).await;
             }
@@ -307,7 +307,7 @@
 
     /// The gateways that are known besides this one.
     pub(super) fn others(&self) -> Vec<SocketAddr> {
-        let mut others = self.knowledge.gateways();
+        let mut others = self.state.gateways();
         others.retain(|other| *other != self.own);
         others
     }
@@ -315,7 +315,7 @@
     /// What this gateway knows, for one of a region: those that are named are of the same one,
     /// if any are known, so that one that starts soon knows who reads there.
     fn digest_for(&self, region: &Region) -> Vec<u8> {
-        match self.knowledge.gateways_of(region) {
+        match self.state.gateways_of(region) {
             near if near.is_empty() => self.digest(),
             near => self.digest_naming(near),
         }
@@ -329,8 +329,8 @@
     fn digest_naming(&self, others: Vec<SocketAddr>) -> Vec<u8> {
         let count = others.len().min(NAMED_GATEWAYS);
         let sampled = rand::seq::index::sample(&mut rand::rng(), others.len(), count);
-        let gateways = self.knowledge.names(sampled.into_iter().map(|number| others[number]));
-        pack(&Datagram::Digest { from: self.own, known: self.knowledge.known(), gateways })
+        let gateways = self.state.names(sampled.into_iter().map(|number| others[number]));
+        pack(&Datagram::Digest { from: self.own, known: self.state.known(), gateways })
     }
 }
 
@@ -345,7 +345,7 @@
     State(relay): State<Arc<Relay>>,
     Query(wanted): Query<Wanted>,
 ) -> Result<Bytes, StatusCode> {
-    if relay.knowledge.view().catalog.is_none() {
+    if relay.state.view().catalog.is_none() {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
     Ok(pack(&relay.planner.plan(&wanted.service.into())).into())
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -56,7 +56,7 @@
             load.sent(number, prompt, chosen.first, now);
             chosen.place.iter().for_each(|place| load.open.decided(*place));
         }
-        let untold = context.knowledge.untold();
+        let untold = context.state.untold();
         untold.add(&target);
         Self { target, at: now, number, untold }
     }
@@ -116,7 +116,7 @@
         Err(error) => {
             tracing::debug!(endpoint = %target.name, error = format!("{error:#}"), "connecting");
             target.sign(Sign::Silence, context.clock.now());
-            chosen.place.iter().for_each(|place| give_back(target, *place, &context.knowledge));
+            chosen.place.iter().for_each(|place| give_back(target, *place, &context.state));
             return Err(Fate::NotSent);
         }
     };
--- a/src/cinderspoke/gateway/source.rs
+++ b/src/cinderspoke/gateway/source.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use super::draw;
-use super::knowledge::Knowledge;
+use super::state::State;
 
 /// How long news of endpoints gather at most while entries are awaited that lapsed in an
 /// outage: a small part of the time that they have to be back.
@@ -85,7 +85,7 @@
 
     /// Whether this gateway waits for its news, or has them from others.
     fn role(&self) -> Role {
-        self.shared().knowledge.role()
+        self.shared().state.role()
     }
 
     /// Waits until a call that is made now is needless, since others told the news before it
@@ -113,7 +113,7 @@
 
 /// What all sources read from, and where they bring it.
 pub(super) struct Shared {
-    pub(super) knowledge: Arc<Knowledge>,
+    pub(super) state: Arc<State>,
     pub(super) registry: Arc<dyn Registry>,
 }
 
@@ -121,14 +121,13 @@
     /// Waits until something is known from other gateways, as long as they may tell it: a
     /// gateway that starts while others run has it from them. Were all that start at once to
     /// read it whole, they would fill the link to the store.
-    async fn wait_for<T>(&self, known: impl Fn(&Knowledge) -> Option<T>) {
-        let knowledge = &self.knowledge;
-        if knowledge.terms().seeds.is_empty() {
+    async fn wait_for<T>(&self, known: impl Fn(&State) -> Option<T>) {
+        let state = &self.state;
+        if state.terms().seeds.is_empty() {
             return;
         }
-        let began = knowledge.clock().now();
-        while known(knowledge).is_none()
-            && self.may_be_told(knowledge.clock().now().saturating_sub(began))
+        let began = state.clock().now();
+        while known(state).is_none() && self.may_be_told(state.clock().now().saturating_sub(began))
         {
             sleep(LOOK).await;
         }
@@ -136,9 +135,9 @@
 
     /// Whether other gateways are known to have a configuration, or may yet say so.
     fn may_be_told(&self, waited: Duration) -> bool {
-        let knowledge = &self.knowledge;
-        let told = knowledge.configuration_behind() > Duration::ZERO;
-        let patience = match knowledge.role() {
+        let state = &self.state;
+        let told = state.configuration_behind() > Duration::ZERO;
+        let patience = match state.role() {
             Role::Reader if !told => FIRST_WORD.max(self.others_known_at()).min(ALL_WORDS),
             _ => TOLD,
         };
@@ -148,14 +147,14 @@
     /// Until when after its start a gateway waits since others have lately come to be known:
     /// who comes before it and reads may be the next.
     fn others_known_at(&self) -> Duration {
-        self.knowledge.met_at() + NEXT_WORD
+        self.state.met_at() + NEXT_WORD
     }
 
     /// Among how many gateways the asking is shared for what few of them read.
     fn askers(&self) -> usize {
-        match self.knowledge.role() {
-            Role::Reader => self.knowledge.readers(),
-            Role::Follower => self.knowledge.view().gateways,
+        match self.state.role() {
+            Role::Reader => self.state.readers(),
+            Role::Follower => self.state.view().gateways,
         }
     }
 }
@@ -195,9 +194,9 @@
     fn learn(&self, fact: Fact<Option<Declared>>, progress: &Progress) {
         if let Some(declared) = fact.value {
             draw::came(STORE, STORE, declared.version, progress);
-            self.0.knowledge.configured(Fact::new(fact.revision, declared), STORE);
+            self.0.state.configured(Fact::new(fact.revision, declared), STORE);
         }
-        self.0.knowledge.configuration_confirmed(fact.revision);
+        self.0.state.configuration_confirmed(fact.revision);
     }
 }
 
@@ -225,11 +224,11 @@
     }
 
     async fn start(&self) {
-        self.0.wait_for(Knowledge::configuration_revision).await;
+        self.0.wait_for(State::configuration_revision).await;
     }
 
     fn known(&self) -> Option<Revision> {
-        self.0.knowledge.configuration_revision()
+        self.0.state.configuration_revision()
     }
 
     fn shared(&self) -> &Shared {
@@ -238,33 +237,33 @@
 
     /// What still comes of an answer then would take room on the link from what is news.
     async fn needless(&self) {
-        let knowledge = &self.0.knowledge;
-        let mut changes = knowledge.subscribe();
-        let (version, role) = (knowledge.configuration_held().0, knowledge.role());
+        let state = &self.0.state;
+        let mut changes = state.subscribe();
+        let (version, role) = (state.configuration_held().0, state.role());
         loop {
             tokio::select! {
                 () = changes.changed() => {}
                 () = sleep(LOOK_AT_ROLE) => {}
             }
-            let hands_over = role == Role::Reader && knowledge.role() == Role::Follower;
-            if hands_over || knowledge.configuration_held().0 != version {
+            let hands_over = role == Role::Reader && state.role() == Role::Follower;
+            if hands_over || state.configuration_held().0 != version {
                 return;
             }
         }
     }
 
     fn is_left_behind(&self) -> bool {
-        self.0.knowledge.is_left_behind()
+        self.0.state.is_left_behind()
     }
 
     fn answered(&self, answered: bool) {
-        self.0.knowledge.configuration_answered(answered);
+        self.0.state.configuration_answered(answered);
     }
 }
 
 impl Versions {
     fn learn(&self, fact: Fact<Rollout>, freshness: Freshness) {
-        self.0.knowledge.named(&fact, freshness);
+        self.0.state.named(&fact, freshness);
     }
 }
 
@@ -290,15 +289,15 @@
     }
 
     async fn start(&self) {
-        self.0.wait_for(Knowledge::rollout_revision).await;
+        self.0.wait_for(State::rollout_revision).await;
     }
 
     fn known(&self) -> Option<Revision> {
-        self.0.knowledge.rollout_revision()
+        self.0.state.rollout_revision()
     }
 
     fn told_at(&self) -> Duration {
-        self.0.knowledge.rollout_told_at()
+        self.0.state.rollout_told_at()
     }
 
     fn shared(&self) -> &Shared {
@@ -314,7 +313,7 @@
 
     async fn read(&self, _: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.endpoints().await?;
-        let listed = |fact| _ = self.0.knowledge.listed(fact, STORE);
+        let listed = |fact| _ = self.0.state.listed(fact, STORE);
         Ok(Box::new(move |_| Some(take(read, listed))))
     }
 
@@ -325,23 +324,23 @@
         _: &Progress,
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_endpoints(after, wait).await?;
-        let changed = |fact| _ = self.0.knowledge.changed(fact, STORE);
+        let changed = |fact| _ = self.0.state.changed(fact, STORE);
         Ok(Box::new(move |_| take_news(seen, changed)))
     }
 
     fn gather(&self) -> Duration {
-        let gather = self.0.knowledge.terms().gather;
+        let gather = self.0.state.terms().gather;
         // Entries that come back late after an outage are given up for a while.
-        let awaits_entries = self.0.knowledge.next_settled().is_some();
+        let awaits_entries = self.0.state.next_settled().is_some();
         if awaits_entries { gather.min(GATHER_AFTER_OUTAGE) } else { gather }
     }
 
     async fn start(&self) {
-        self.0.wait_for(Knowledge::directory_revision).await;
+        self.0.wait_for(State::directory_revision).await;
     }
 
     fn known(&self) -> Option<Revision> {
-        self.0.knowledge.directory_revision()
+        self.0.state.directory_revision()
     }
 
     fn shared(&self) -> &Shared {
@@ -357,7 +356,7 @@
 
     async fn read(&self, _: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.evacuations().await?;
-        let listed = |fact| self.0.knowledge.evacuated(fact, STORE);
+        let listed = |fact| self.0.state.evacuated(fact, STORE);
         Ok(Box::new(move |_| Some(take(read, listed))))
     }
 
@@ -368,16 +367,16 @@
         _: &Progress,
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_evacuations(after, wait).await?;
-        let changed = |fact| self.0.knowledge.evacuations_changed(fact, STORE);
+        let changed = |fact| self.0.state.evacuations_changed(fact, STORE);
         Ok(Box::new(move |_| take_news(seen, changed)))
     }
 
     async fn start(&self) {
-        self.0.wait_for(Knowledge::evacuations_revision).await;
+        self.0.wait_for(State::evacuations_revision).await;
     }
 
     fn known(&self) -> Option<Revision> {
-        self.0.knowledge.evacuations_revision()
+        self.0.state.evacuations_revision()
     }
 
     fn shared(&self) -> &Shared {
--- a/src/cinderspoke/gateway/knowledge.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -21,7 +21,7 @@
 use cinderspoke_schema::settings;
 
 use super::ask::Asker;
-use super::belief::Belief;
+use super::inner::Inner;
 use super::message::Known;
 use super::outstanding::Untold;
 use super::suspects::Suspects;
@@ -37,8 +37,8 @@
 const COUNT: Duration = Duration::from_secs(1);
 
 /// What a gateway knows.
-pub struct Knowledge {
-    state: Mutex<Belief>,
+pub struct State {
+    inner: Mutex<Inner>,
     // Made anew from the state at each change.
     view: ArcSwap<View>,
     // Until when the view's number of gateways holds, in milliseconds of the clock.
@@ -56,14 +56,14 @@
     clock: Clock,
 }
 
-impl Knowledge {
+impl State {
     /// Nothing is known yet.
     #[must_use]
     pub fn new(settings: &settings::Node, terms: Terms, clock: Clock) -> Self {
         let own = inner_address(settings);
         let region = region::Table::new(own, settings.region.as_str().into());
         Self {
-            state: Mutex::new(Belief { region, ..Belief::default() }),
+            inner: Mutex::new(Inner { region, ..Inner::default() }),
             view: ArcSwap::default(),
             counted_until: AtomicU64::new(u64::MAX),
             changes: Signal::default(),
@@ -79,8 +79,8 @@
         }
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, Belief> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What is known now.
@@ -95,8 +95,8 @@
     /// Counts gateways without other news: the share of one that ended is given to the
     /// others when it has been silent for too long.
     fn count_anew(&self) {
-        let state = self.lock();
-        let (before, gateways) = (self.view.load_full(), self.count(&state));
+        let inner = self.lock();
+        let (before, gateways) = (self.view.load_full(), self.count(&inner));
         if before.gateways != gateways {
             tracing::info!(gateways, before = before.gateways, "gateways counted anew");
             self.view.store(Arc::new(View { gateways, ..View::clone(&before) }));
@@ -104,9 +104,9 @@
     }
 
     /// How many gateways there are now, this one among them.
-    fn count(&self, state: &Belief) -> usize {
-        let (now, patience) = (self.clock.now(), patience(state.gateways.len()));
-        let silent_at = state.gateways.values().map(|heard| *heard + patience);
+    fn count(&self, inner: &Inner) -> usize {
+        let (now, patience) = (self.clock.now(), patience(inner.gateways.len()));
+        let silent_at = inner.gateways.values().map(|heard| *heard + patience);
         let alive = silent_at.filter(|silent_at| *silent_at >= now);
         let (others, first) = alive.fold((0, Duration::MAX), |(others, first), silent_at| {
             (others + 1, first.min(silent_at))
@@ -124,10 +124,10 @@
 
     /// Takes in that the settings ask something else.
     pub fn asked(&self, terms: Terms) {
-        let mut state = self.lock();
+        let mut inner = self.lock();
         self.terms.store(Arc::new(terms));
-        self.show(&mut state);
-        drop(state);
+        self.show(&mut inner);
+        drop(inner);
         self.changes.raise();
     }
 
@@ -201,24 +201,24 @@
     /// Puts a configuration in force, if it is newer than the one that is.
     pub(super) fn put_in_force(&self, fact: Fact<Catalog>, from: &str) -> bool {
         let Fact { revision, value: catalog } = fact;
-        let mut state = self.lock();
-        let before = state.version();
+        let mut inner = self.lock();
+        let before = inner.version();
         let version = catalog.declared().version;
-        if !state.is_newer(version) {
+        if !inner.is_newer(version) {
             return false;
         }
         let services = catalog.declared().backends.iter().map(|backend| backend.service.clone());
-        state.keeper.declared(services.collect());
+        inner.keeper.declared(services.collect());
         let now = self.clock.now();
-        state.lag.hear(version, now);
-        let behind_ms = state.lag.behind(before, now).as_millis() as u64;
+        inner.lag.hear(version, now);
+        let behind_ms = inner.lag.behind(before, now).as_millis() as u64;
         let unknown = catalog.unknown_regions(|region| self.is_region(region));
         if !unknown.is_empty() {
             tracing::warn!(version, ?unknown, "routes or teams name regions that nobody knows");
         }
-        state.put_in_force(Arc::new(catalog), revision);
-        self.show(&mut state);
-        drop(state);
+        inner.put_in_force(Arc::new(catalog), revision);
+        self.show(&mut inner);
+        drop(inner);
         tracing::info!(version, before, from, behind_ms, "configuration in force");
         self.changes.raise();
         true
@@ -256,23 +256,23 @@
     /// answered others meanwhile, no entries have lapsed by that.
     pub fn platform_returned(&self) {
         let now = self.clock.now();
-        let mut state = self.lock();
-        state.outage.end(now);
+        let mut inner = self.lock();
+        inner.outage.end(now);
         // Each kind of fact is read again at its own time; entries return from the first on.
-        if let Some(at) = state.outage.returned().filter(|_| !state.outage.is_own()) {
-            let away = state.outage.away().unwrap_or(at);
-            state.keeper.returned(at, away);
+        if let Some(at) = inner.outage.returned().filter(|_| !inner.outage.is_own()) {
+            let away = inner.outage.away().unwrap_or(at);
+            inner.keeper.returned(at, away);
         }
     }
 
     /// Takes in how long ago the platform answered some gateway.
     pub fn told_answers(&self, answers: &[Ago]) {
         let now = self.clock.now();
-        let mut state = self.lock();
-        if !state.outage.told(answers, now) {
+        let mut inner = self.lock();
+        if !inner.outage.told(answers, now) {
             return;
         }
-        drop(state);
+        drop(inner);
         let last_ms = answers.first().map(|ago| Duration::from(*ago).as_millis() as u64);
         tracing::info!(last_ms, "only this gateway was cut off");
         self.keep("gateway", Keeper::was_cut_off);
@@ -298,17 +298,17 @@
 
     /// Changes the list of endpoints; makes it known if it is another then.
     fn keep(&self, from: &str, change: impl FnOnce(&mut Keeper) -> bool) -> bool {
-        let mut state = self.lock();
-        let due = state.keeper.due();
-        let changed = change(&mut state.keeper);
-        if state.keeper.due() != due {
+        let mut inner = self.lock();
+        let due = inner.keeper.due();
+        let changed = change(&mut inner.keeper);
+        if inner.keeper.due() != due {
             self.kept.raise();
         }
         if changed {
-            state.follow_directory(self.clock.now());
-            self.show(&mut state);
-            let (endpoints, revision) = (state.targets.len(), state.keeper.revision().0);
-            drop(state);
+            inner.follow_directory(self.clock.now());
+            self.show(&mut inner);
+            let (endpoints, revision) = (inner.targets.len(), inner.keeper.revision().0);
+            drop(inner);
             tracing::info!(endpoints, revision, from, "endpoints changed");
             self.changes.raise();
         }
@@ -326,8 +326,8 @@
         is_answer: bool,
     ) {
         let (target, cold) = {
-            let state = self.lock();
-            (state.by_address.get(&endpoint).cloned(), state.cold(&endpoint.0))
+            let inner = self.lock();
+            (inner.by_address.get(&endpoint).cloned(), inner.cold(&endpoint.0))
         };
         if let Some(target) = target {
             if let Some(departure) = report.leaving {
@@ -352,20 +352,20 @@
     /// True when it was not known at all.
     pub fn met(&self, gateway: SocketAddr, itself: bool) -> bool {
         let now = self.clock.now();
-        let mut state = self.lock();
-        let known = state.gateways.contains_key(&gateway);
-        let patience = patience(state.gateways.len());
-        let heard = state.gateways.entry(gateway).or_insert(now);
+        let mut inner = self.lock();
+        let known = inner.gateways.contains_key(&gateway);
+        let patience = patience(inner.gateways.len());
+        let heard = inner.gateways.entry(gateway).or_insert(now);
         let alive = *heard + patience >= now;
         if itself {
             *heard = now;
         }
         if !known {
-            state.met_at = now;
+            inner.met_at = now;
         }
         if !known || (itself && !alive) {
             tracing::info!(%gateway, itself, "gateway heard of");
-            self.show(&mut state);
+            self.show(&mut inner);
         }
         !known
     }
@@ -393,8 +393,8 @@
     /// The list of endpoints.
     #[must_use]
     pub fn directory(&self) -> Fact<Directory> {
-        let state = self.lock();
-        Fact::new(state.keeper.revision(), state.keeper.tell(self.clock.now()))
+        let inner = self.lock();
+        Fact::new(inner.keeper.revision(), inner.keeper.tell(self.clock.now()))
     }
 
     /// The revision of the list of endpoints; none before there is one.
@@ -408,40 +408,40 @@
     /// that hash.
     #[must_use]
     pub fn directory_after(&self, revision: Revision, hash: u64) -> Option<Fact<Directory>> {
-        let state = self.lock();
-        let newer = state.keeper.revision() > revision && state.directory_hash != hash;
-        newer.then(|| Fact::new(state.keeper.revision(), state.keeper.tell(self.clock.now())))
+        let inner = self.lock();
+        let newer = inner.keeper.revision() > revision && inner.directory_hash != hash;
+        newer.then(|| Fact::new(inner.keeper.revision(), inner.keeper.tell(self.clock.now())))
     }
 
     /// Has runs of endpoints get nothing more, since they leave.
-    pub(super) fn leave(&self, state: &mut Belief, runs: &[Run], from: &str) {
-        for target in state.targets.values().filter(|target| runs.contains(&target.run)) {
+    pub(super) fn leave(&self, inner: &mut Inner, runs: &[Run], from: &str) {
+        for target in inner.targets.values().filter(|target| runs.contains(&target.run)) {
             target.leave();
             tracing::info!(endpoint = %target.name, from, "endpoint leaves");
         }
-        self.show(state);
+        self.show(inner);
     }
 
     /// Makes what is known visible to requests.
-    pub(super) fn show(&self, state: &mut Belief) {
+    pub(super) fn show(&self, inner: &mut Inner) {
         let mut members: BTreeMap<Service, Vec<Member>> = BTreeMap::new();
-        for (target, entry) in state.ready().filter(|(target, _)| !target.leaves()) {
+        for (target, entry) in inner.ready().filter(|(target, _)| !target.leaves()) {
             let (target, entry) = (Arc::clone(target), entry.clone());
             let distance = self.distance(&entry.zone);
             let region = self.region_of(&entry.zone);
-            let is_emptied = state.evacuation.holds(&entry.zone);
+            let is_emptied = inner.evacuation.holds(&entry.zone);
             let members = members.entry(entry.service.clone()).or_default();
             members.push(Member { target, entry, distance, region, is_emptied });
         }
-        let gateways = self.count(state);
+        let gateways = self.count(inner);
         self.view.store(Arc::new(View {
             number: self.view.load().number + 1,
-            catalog: state.configuration.value.clone(),
+            catalog: inner.configuration.value.clone(),
             members: Arc::new(members),
-            rollout: state.rollout.clone(),
+            rollout: inner.rollout.clone(),
             gateways,
-            knows_emptied: !self.terms().evacuates || state.evacuation.known().is_some(),
-            others: state.gateways.keys().map(|gateway| Key::of_address(*gateway)).collect(),
+            knows_emptied: !self.terms().evacuates || inner.evacuation.known().is_some(),
+            others: inner.gateways.keys().map(|gateway| Key::of_address(*gateway)).collect(),
         }));
     }
 
--- a/src/cinderspoke/gateway/subset.rs
+++ b/src/cinderspoke/gateway/subset.rs
@@ -7,10 +7,10 @@
 use cinderspoke_core::gateway::subset::{far, first, near};
 use cinderspoke_core::swarm::Distance;
 
-use super::knowledge::Knowledge;
+use super::state::State;
 use super::view::Member;
 
-impl Knowledge {
+impl State {
     /// Chooses the engines of each service whose agents are to report here; gives their
     /// addresses.
     #[must_use]
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -10,7 +10,7 @@
 
 use super::context::Context;
 use super::holds::Due;
-use super::knowledge::Knowledge;
+use super::state::State;
 use super::understand::Asked;
 
 /// What a gateway knows of requests under which endpoints ended.
@@ -99,22 +99,22 @@
 impl Context {
     /// For how long a request is held back, if it may not be sent now.
     pub fn holds_back(&self, asked: &Asked) -> Option<Duration> {
-        if !self.knowledge.suspects().any() {
+        if !self.state.suspects().any() {
             return None;
         }
-        self.knowledge.admit(asked.fingerprint())
+        self.state.admit(asked.fingerprint())
     }
 
     /// Takes in that an endpoint served a request: it does not end those that begin it. A
     /// failure would not show that, since some endpoints fail whatever they are asked.
     pub fn was_served(&self, asked: &Asked) {
-        if self.knowledge.suspects().any() {
-            self.knowledge.was_served(asked.fingerprint());
+        if self.state.suspects().any() {
+            self.state.was_served(asked.fingerprint());
         }
     }
 }
 
-impl Knowledge {
+impl State {
     /// Takes in that an endpoint ended before it answered a request.
     pub(super) fn crashed(&self, fingerprint: Fingerprint, crash: &Crash) -> News {
         let news = self.suspects().crashed(fingerprint, crash, self.clock().now());
--- a/src/cinderspoke/gateway/understand.rs
+++ b/src/cinderspoke/gateway/understand.rs
@@ -74,7 +74,7 @@
         // It could not be finished before the process has to end.
         return Err(Refusal::not_run("the gateway is stopping", ELSEWHERE));
     }
-    let view = context.knowledge.view();
+    let view = context.state.view();
     let Some(catalog) = &view.catalog else {
         return Err(Refusal::not_run("no configuration is known yet", COME_BACK));
     };
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -8,10 +8,10 @@
 use cinderspoke_core::gateway::timeline::{Age, Ages};
 use cinderspoke_core::gateway::watch::Freshness;
 
-use super::belief::Belief;
-use super::knowledge::Knowledge;
+use super::inner::Inner;
+use super::state::State;
 
-impl Knowledge {
+impl State {
     /// Takes in what the store says of named versions. What a process finds when
     /// it first reads the store may have been named long before it started; what
     /// the store did not say before was named just now, or at some time since the
@@ -22,18 +22,18 @@
             Freshness::New => Age::Seen(Duration::ZERO),
             Freshness::Within(time) => Age::Within(time),
         };
-        self.learn_versions("store", |state| {
-            state.rollout_revision = state.rollout_revision.max(fact.revision);
-            state.rollout.merge(rollout);
-            match &mut state.stored {
+        self.learn_versions("store", |inner| {
+            inner.rollout_revision = inner.rollout_revision.max(fact.revision);
+            inner.rollout.merge(rollout);
+            match &mut inner.stored {
                 Some(stored) => {
                     let news = rollout.newer_than(stored);
                     stored.merge(rollout);
-                    state.timeline.learn(&news, age, now)
+                    inner.timeline.learn(&news, age, now)
                 }
                 none => {
                     *none = Some(rollout.clone());
-                    state.timeline.learn(rollout, Age::Found, now)
+                    inner.timeline.learn(rollout, Age::Found, now)
                 }
             }
         });
@@ -57,32 +57,32 @@
     pub fn told_versions(&self, ages: &Ages, revision: Revision) {
         self.told_ages(ages, "gateway");
         let now = self.clock().now();
-        let mut state = self.lock();
-        if revision > state.rollout_revision {
-            (state.rollout_revision, state.rollout_told_at) = (revision, now);
-            let told = state.rollout.clone();
-            state.stored.get_or_insert(told);
+        let mut inner = self.lock();
+        if revision > inner.rollout_revision {
+            (inner.rollout_revision, inner.rollout_told_at) = (revision, now);
+            let told = inner.rollout.clone();
+            inner.stored.get_or_insert(told);
         }
     }
 
     /// Merges for how long versions have been named, as another process knows it.
     pub fn told_ages(&self, ages: &Ages, from: &str) {
         let now = self.clock().now();
-        self.learn_versions(from, |state| {
-            state.rollout.merge(&ages.rollout());
-            state.timeline.merge(ages, now)
+        self.learn_versions(from, |inner| {
+            inner.rollout.merge(&ages.rollout());
+            inner.timeline.merge(ages, now)
         });
     }
 
     /// Has versions learned; makes them known if any is news, or its age is.
-    fn learn_versions(&self, from: &str, learn: impl FnOnce(&mut Belief) -> bool) {
-        let mut state = self.lock();
-        if !learn(&mut state) {
+    fn learn_versions(&self, from: &str, learn: impl FnOnce(&mut Inner) -> bool) {
+        let mut inner = self.lock();
+        if !learn(&mut inner) {
             return;
         }
-        self.show(&mut state);
-        let ages = state.timeline.ages(self.clock().now());
-        drop(state);
+        self.show(&mut inner);
+        let ages = inner.timeline.ages(self.clock().now());
+        drop(inner);
         tracing::info!(?ages, from, "versions named");
         self.tell_others();
     }
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -9,11 +9,11 @@
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::name::{Service, Zone};
 
-use super::belief::Belief;
-use super::knowledge::Knowledge;
+use super::inner::Inner;
+use super::state::State;
 use super::view::View;
 
-impl Knowledge {
+impl State {
     /// Replaces the emptied zones, unless those that are known are newer.
     pub fn evacuated(&self, told: Fact<BTreeSet<Zone>>, from: &str) {
         self.change_evacuations(from, |table| table.replace(told));
@@ -25,21 +25,21 @@
     }
 
     fn change_evacuations(&self, from: &str, change: impl FnOnce(&mut Table) -> bool) {
-        let mut state = self.lock();
-        let before = state.evacuation.known().cloned().unwrap_or_default().value;
-        if !change(&mut state.evacuation) {
+        let mut inner = self.lock();
+        let before = inner.evacuation.known().cloned().unwrap_or_default().value;
+        if !change(&mut inner.evacuation) {
             return;
         }
         let now = self.clock().now();
-        state.reopen(&before, now);
-        self.show(&mut state);
-        let zones = state.evacuation.known().cloned().unwrap_or_default().value;
+        inner.reopen(&before, now);
+        self.show(&mut inner);
+        let zones = inner.evacuation.known().cloned().unwrap_or_default().value;
         let unknown: Vec<_> = zones.iter().filter(|zone| !self.is_zone(zone)).collect();
         if !unknown.is_empty() {
             tracing::warn!(?unknown, "zones are emptied that the settings do not name");
         }
         tracing::info!(?zones, from, "emptied zones changed");
-        drop(state);
+        drop(inner);
         self.tell_others();
     }
 
@@ -64,7 +64,7 @@
     }
 }
 
-impl Belief {
+impl Inner {
     /// What endpoints of a service bear after their start.
     #[must_use]
     pub fn cold(&self, service: &Service) -> Option<Cold> {
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -8,7 +8,7 @@
 
 use async_trait::async_trait;
 use cinderspoke::gateway::follow;
-use cinderspoke::gateway::knowledge::Knowledge;
+use cinderspoke::gateway::state;
 use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::catalog::Declared;
@@ -130,23 +130,23 @@
 }
 
 /// A gateway's knowledge, which follows a store that answers so.
-fn following(steps: impl IntoIterator<Item = Step>) -> Arc<Knowledge> {
+fn following(steps: impl IntoIterator<Item = Step>) -> Arc<state::State> {
     let settings = settings();
-    let knowledge = Knowledge::new(&settings, Terms::new(&settings), Clock::start());
-    let knowledge = Arc::new(knowledge);
+    let state = state::State::new(&settings, Terms::new(&settings), Clock::start());
+    let state = Arc::new(state);
     let registry: Arc<dyn Registry> =
         Arc::new(Script { steps: Mutex::new(steps.into_iter().collect()) });
-    follow::spawn(&knowledge, &registry, &settings, CancellationToken::new());
-    knowledge
+    follow::spawn(&state, &registry, &settings, CancellationToken::new());
+    state
 }
 
-fn listed(knowledge: &Knowledge) -> Vec<String> {
-    knowledge.directory().value.entries.keys().map(ToString::to_string).collect()
+fn listed(state: &state::State) -> Vec<String> {
+    state.directory().value.entries.keys().map(ToString::to_string).collect()
 }
 
 /// Waits until a gateway has taken in the store's revision.
-async fn learned(knowledge: &Knowledge, revision: u64) {
-    while knowledge.directory().revision < Revision(revision) {
+async fn learned(state: &state::State, revision: u64) {
+    while state.directory().revision < Revision(revision) {
         sleep(Duration::from_millis(1)).await;
     }
 }
@@ -165,19 +165,19 @@
     let back = vec![Change::Put("back".into(), entry("10.0.1.1:1"))];
     let steps =
         [away(), away(), away(), (Duration::ZERO, news(2, lapsed)), (BACK_AFTER, news(3, back))];
-    let knowledge = following(steps);
-    learned(&knowledge, 2).await;
-    assert_eq!(listed(&knowledge), ["back", "gone"], "the last list is kept");
-    learned(&knowledge, 3).await;
-    assert_eq!(listed(&knowledge), ["back", "gone"]);
+    let state = following(steps);
+    learned(&state, 2).await;
+    assert_eq!(listed(&state), ["back", "gone"], "the last list is kept");
+    learned(&state, 3).await;
+    assert_eq!(listed(&state), ["back", "gone"]);
     sleep(SETTLE).await;
-    assert_eq!(listed(&knowledge), ["back"], "whoever is not back is gone");
+    assert_eq!(listed(&state), ["back"], "whoever is not back is gone");
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_goes_after_a_watch_was_cut_once_is_gone_at_once() {
     let gone = vec![Change::Removed("gone".into())];
-    let knowledge = following([away(), (Duration::ZERO, news(2, gone))]);
-    learned(&knowledge, 2).await;
-    assert_eq!(listed(&knowledge), ["back"]);
+    let state = following([away(), (Duration::ZERO, news(2, gone))]);
+    learned(&state, 2).await;
+    assert_eq!(listed(&state), ["back"]);
 }
--- a/tests/testsuite/late.rs
+++ b/tests/testsuite/late.rs
@@ -8,7 +8,7 @@
 
 use async_trait::async_trait;
 use cinderspoke::gateway::follow;
-use cinderspoke::gateway::knowledge::Knowledge;
+use cinderspoke::gateway::state::State;
 use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::catalog::Declared;
@@ -133,21 +133,21 @@
 }
 
 /// A gateway's knowledge, which follows a store and knows of so many other gateways.
-fn following(store: &Arc<Late>, others: u16) -> (Arc<Knowledge>, CancellationToken) {
+fn following(store: &Arc<Late>, others: u16) -> (Arc<State>, CancellationToken) {
     let (settings, token) = (settings(), CancellationToken::new());
-    let knowledge = Knowledge::new(&settings, Terms::new(&settings), Clock::start());
-    let knowledge = Arc::new(knowledge);
+    let state = State::new(&settings, Terms::new(&settings), Clock::start());
+    let state = Arc::new(state);
     for other in 1..=others {
-        knowledge.met(SocketAddr::from(([10, 9, 0, 1], other)), true);
+        state.met(SocketAddr::from(([10, 9, 0, 1], other)), true);
     }
     let registry: Arc<dyn Registry> = Arc::clone(store) as _;
-    follow::spawn(&knowledge, &registry, &settings, token.clone());
-    (knowledge, token)
+    follow::spawn(&state, &registry, &settings, token.clone());
+    (state, token)
 }
 
 /// Waits until the news are known; gives when, after they were there.
-async fn learned(knowledge: &Knowledge, store: &Late) -> Duration {
-    while knowledge.directory().revision < Revision(2) {
+async fn learned(state: &State, store: &Late) -> Duration {
+    while state.directory().revision < Revision(2) {
         sleep(Duration::from_millis(10)).await;
     }
     store.news.elapsed()
@@ -160,8 +160,8 @@
     for trial in 0..TRIALS {
         let store = Late::new(by, Duration::from_millis(20_000 + 370 * trial), &[]);
         let started = Instant::now();
-        let (knowledge, token) = following(&store, others);
-        longest = longest.max(learned(&knowledge, &store).await);
+        let (state, token) = following(&store, others);
+        longest = longest.max(learned(&state, &store).await);
         calls += f64::from(store.calls.load(Ordering::Relaxed)) / started.elapsed().as_secs_f64();
         token.cancel();
     }
@@ -186,10 +186,10 @@
     for _ in 0..TRIALS {
         let news = Duration::from_millis(2000);
         let store = Late::new(Duration::ZERO, news, &[Call::Refused, Call::Silent]);
-        let (knowledge, token) = following(&store, MANY);
+        let (state, token) = following(&store, MANY);
         sleep(news).await;
-        knowledge.doubt();
-        longest = longest.max(learned(&knowledge, &store).await);
+        state.doubt();
+        longest = longest.max(learned(&state, &store).await);
         token.cancel();
     }
     assert!(longest < LEARNS, "{longest:?}");
@@ -200,10 +200,10 @@
     for _ in 0..TRIALS {
         let news = Duration::from_millis(2000);
         let store = Late::new(Duration::ZERO, news, &[Call::Silent]);
-        let (knowledge, token) = following(&store, MANY);
+        let (state, token) = following(&store, MANY);
         sleep(news).await;
-        knowledge.doubt();
-        let learned = learned(&knowledge, &store).await;
+        state.doubt();
+        let learned = learned(&state, &store).await;
         assert!(learned < MADE_ANEW, "{learned:?}");
         token.cancel();
     }
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use cinderspoke::gateway::knowledge::Knowledge;
+use cinderspoke::gateway::state::State;
 use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::budget::Budget;
@@ -20,10 +20,10 @@
 
 /// How many repeats gateways would send now at a service without requests, if
 /// each spent its whole share.
-fn spent(gateways: &[Knowledge]) -> usize {
-    let spent = gateways.iter().map(|knowledge| {
-        let (now, terms) = (knowledge.clock().now(), knowledge.terms().budget);
-        let known = knowledge.view().gateways;
+fn spent(gateways: &[State]) -> usize {
+    let spent = gateways.iter().map(|state| {
+        let (now, terms) = (state.clock().now(), state.terms().budget);
+        let known = state.view().gateways;
         let mut budget = Budget::default();
         let repeats =
             std::iter::from_fn(|| budget.affords(now, &terms, known).then(|| budget.repeat(now)));
@@ -35,12 +35,12 @@
 async fn quiet_gateways_share(count: usize) {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let (settings, clock) = (settings(), Clock::start());
-    let new = || Knowledge::new(&settings, Terms::new(&settings), clock);
+    let new = || State::new(&settings, Terms::new(&settings), clock);
     let gateways: Vec<_> = (0..count).map(|_| new()).collect();
-    for (own, knowledge) in gateways.iter().enumerate() {
+    for (own, state) in gateways.iter().enumerate() {
         // What the store names at the start.
         let others = (0..count).filter(|other| *other != own);
-        others.for_each(|other| _ = knowledge.met(address(other), false));
+        others.for_each(|other| _ = state.met(address(other), false));
     }
     let slack = gateways[0].terms().budget.slack;
     for tick in 0..400 {
--- a/tests/testsuite/watches.rs
+++ b/tests/testsuite/watches.rs
@@ -10,7 +10,7 @@
 
 use async_trait::async_trait;
 use cinderspoke::gateway::follow;
-use cinderspoke::gateway::knowledge::Knowledge;
+use cinderspoke::gateway::state::State;
 use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::catalog::Declared;
@@ -114,20 +114,20 @@
 }
 
 /// A gateway that follows a store whose watches of versions go so.
-fn following(calls: &[Call]) -> (Arc<Knowledge>, Arc<Versions>) {
+fn following(calls: &[Call]) -> (Arc<State>, Arc<Versions>) {
     following_by(Clock::start(), calls)
 }
 
 /// Such a gateway, with a clock of its own.
-fn following_by(clock: Clock, calls: &[Call]) -> (Arc<Knowledge>, Arc<Versions>) {
+fn following_by(clock: Clock, calls: &[Call]) -> (Arc<State>, Arc<Versions>) {
     let settings = settings();
-    let knowledge = Knowledge::new(&settings, Terms::new(&settings), clock);
-    let (knowledge, calls) = (Arc::new(knowledge), calls.iter().copied().collect());
+    let state = State::new(&settings, Terms::new(&settings), clock);
+    let (state, calls) = (Arc::new(state), calls.iter().copied().collect());
     let (watches, forgotten) = (AtomicU32::new(0), AtomicU32::new(0));
     let store = Arc::new(Versions { calls: Mutex::new(calls), watches, forgotten });
     let registry: Arc<dyn Registry> = Arc::clone(&store) as _;
-    follow::spawn(&knowledge, &registry, &settings, CancellationToken::new());
-    (knowledge, store)
+    follow::spawn(&state, &registry, &settings, CancellationToken::new());
+    (state, store)
 }
 
 fn watches(store: &Versions) -> u32 {
@@ -135,15 +135,15 @@
 }
 
 /// How much longer the first version may begin requests; none before the second is known.
-fn left(knowledge: &Knowledge) -> Option<Duration> {
-    knowledge.version_left(&Model::from("m"), Version(1), false)
+fn left(state: &State) -> Option<Duration> {
+    state.version_left(&Model::from("m"), Version(1), false)
 }
 
 /// Waits until the second version is known; gives how much of its time the first has lost.
-async fn lost(knowledge: &Knowledge) -> Duration {
-    let whole = knowledge.terms().overlap.clear;
+async fn lost(state: &State) -> Duration {
+    let whole = state.terms().overlap.clear;
     loop {
-        if let Some(left) = left(knowledge) {
+        if let Some(left) = left(state) {
             return whole - left;
         }
         sleep(Duration::from_millis(1)).await;
@@ -152,8 +152,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_goes_silent_raises_one_doubt() {
-    let (knowledge, store) = following(&[Call::Silent, Call::Silent, Call::Silent]);
-    let mut doubts = knowledge.doubts();
+    let (state, store) = following(&[Call::Silent, Call::Silent, Call::Silent]);
+    let mut doubts = state.doubts();
     assert!(timeout(ONE_WATCH, doubts.changed()).await.is_ok(), "no doubt");
     while watches(&store) < 4 {
         let doubt = timeout(MOMENT, doubts.changed()).await;
@@ -163,20 +163,20 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_comes_soon_after_a_doubt_comes_over_the_watch_that_was_in_doubt() {
-    let (knowledge, _store) = following(&[Call::News(Duration::from_millis(350))]);
+    let (state, _store) = following(&[Call::News(Duration::from_millis(350))]);
     sleep(Duration::from_millis(50)).await;
-    knowledge.doubt();
-    let lost = timeout(ONE_WATCH, lost(&knowledge)).await;
+    state.doubt();
+    let lost = timeout(ONE_WATCH, lost(&state)).await;
     assert!(matches!(lost, Ok(lost) if lost < Duration::from_millis(5)), "{lost:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_store_that_does_not_answer_is_not_asked_more_often_for_doubts() {
-    let (knowledge, store) = following(&[Call::Silent, Call::Silent]);
+    let (state, store) = following(&[Call::Silent, Call::Silent]);
     while watches(&store) < 2 {
         sleep(Duration::from_millis(1)).await;
     }
-    knowledge.doubt();
+    state.doubt();
     sleep(2 * MOMENT).await;
     assert_eq!(watches(&store), 2);
 }
@@ -184,21 +184,21 @@
 #[tokio::test(start_paused = true)]
 async fn a_version_that_comes_after_two_silent_watches_may_be_as_old_as_the_last_answer() {
     let news = Call::News(Duration::ZERO);
-    let (knowledge, _store) = following(&[Call::Silent, Call::Silent, news]);
+    let (state, _store) = following(&[Call::Silent, Call::Silent, news]);
     let heard = Instant::now();
-    let lost = lost(&knowledge).await;
+    let lost = lost(&state).await;
     // It has no more than its whole time to lose.
-    let unheard = heard.elapsed().min(knowledge.terms().overlap.clear);
+    let unheard = heard.elapsed().min(state.terms().overlap.clear);
     assert!(lost + Duration::from_millis(20) >= unheard, "{lost:?} of {unheard:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_version_that_the_store_forgot_to_tell_may_be_as_old_as_the_last_answer() {
-    let (knowledge, _store) = following(&[Call::Forgotten]);
+    let (state, _store) = following(&[Call::Forgotten]);
     let heard = Instant::now();
-    let lost = lost(&knowledge).await;
+    let lost = lost(&state).await;
     // It has no more than its whole time to lose.
-    let unheard = heard.elapsed().min(knowledge.terms().overlap.clear);
+    let unheard = heard.elapsed().min(state.terms().overlap.clear);
     assert!(unheard >= Duration::from_millis(500), "{unheard:?}");
     assert!(lost + Duration::from_millis(20) >= unheard, "{lost:?} of {unheard:?}");
 }
@@ -209,10 +209,10 @@
 async fn a_version_that_came_while_the_machine_was_suspended_may_be_as_old_as_that() {
     static SUSPENDED: AtomicU64 = AtomicU64::new(0);
     let clock = Clock::start_suspended_by(&SUSPENDED);
-    let (knowledge, _store) = following_by(clock, &[Call::News(Duration::from_millis(100))]);
+    let (state, _store) = following_by(clock, &[Call::News(Duration::from_millis(100))]);
     sleep(Duration::from_millis(50)).await;
     SUSPENDED.store(700, Ordering::SeqCst);
-    let lost = lost(&knowledge).await;
+    let lost = lost(&state).await;
     assert!(lost >= Duration::from_millis(700), "{lost:?}");
 }
 
