--- a/src/cinderspoke/gateway/answer.rs
+++ b/src/cinderspoke/gateway/answer.rs
@@ -11,11 +11,11 @@
 
 use super::choose::Chosen;
 use super::context::Context;
+use super::parse::Parsed;
 use super::record::Record;
 use super::send::{Answer, MOST_HELD, begins_until, keep_alive, refused, send};
 use super::stream::Live;
 use super::target::Target;
-use super::understand::Asked;
 use crate::util::clock::Deadline;
 
 /// How much longer than twice what is expected a stream's first event may take.
@@ -35,35 +35,35 @@
 /// there before the caller is told anything.
 pub async fn attempt(
     context: &Context,
-    asked: &Asked,
+    parsed: &Parsed,
     chosen: &Chosen,
     record: &mut Record,
 ) -> Attempt {
-    let slack = match asked.route.kind {
+    let slack = match parsed.route.kind {
         Kind::Stream { resumable: true } => FIRST_SILENCE,
         _ => Duration::MAX,
     };
-    let until = begins_until(context, asked, chosen, slack);
-    let answer = match send(context, asked, chosen, None, &until).await {
+    let until = begins_until(context, parsed, chosen, slack);
+    let answer = match send(context, parsed, chosen, None, &until).await {
         Ok(answer) => answer,
         Err(fate) => return Attempt::Failed(fate, None),
     };
-    if answer.said.request.as_ref() != Some(&asked.call.id) {
+    if answer.said.request.as_ref() != Some(&parsed.call.id) {
         // The answer of another request, or none of an endpoint: nothing is known of ours.
         return lost(context, &chosen.target);
     }
     if answer.said.not_run {
-        refused(context, asked, answer).await;
+        refused(context, parsed, answer).await;
         return Attempt::Failed(Fate::Refused, None);
     }
     let success = answer.head.status.is_success();
     if is_encoded(&answer.head) || (success && !answer.said.signed) {
         return lost(context, &chosen.target);
     }
-    if success && asked.route.kind.streams() {
+    if success && parsed.route.kind.streams() {
         begin(context, answer, &until, record).await
     } else {
-        read(context, asked, answer).await
+        read(context, parsed, answer).await
     }
 }
 
@@ -74,7 +74,7 @@
 
 /// The endpoint's answer does not tell what became of the request.
 fn lost(context: &Context, target: &Target) -> Attempt {
-    target.sign(Sign::Silence, context.clock.now());
+    target.observe(Sign::Silence, context.clock.now());
     Attempt::Failed(Fate::Lost, None)
 }
 
@@ -87,23 +87,23 @@
 ) -> Attempt {
     let (head, mut live) = Live::new(answer);
     if let Err(stopped) = live.first(until).await {
-        live.target().sign(Sign::Silence, context.clock.now());
+        live.target().observe(Sign::Silence, context.clock.now());
         return Attempt::Failed(stopped.fate(), None);
     }
     live.begun();
-    live.target().sign(Sign::Good, context.clock.now());
+    live.target().observe(Sign::Good, context.clock.now());
     record.began();
     Attempt::Stream(head, Box::new(live))
 }
 
 /// Reads an answer whole.
-async fn read(context: &Context, asked: &Asked, answer: Answer) -> Attempt {
+async fn read(context: &Context, parsed: &Parsed, answer: Answer) -> Attempt {
     let Answer { head, body, connection, sent, .. } = answer;
-    let read = asked.end.bound(Limited::new(body, MOST_HELD).collect()).await;
+    let read = parsed.deadline.bound(Limited::new(body, MOST_HELD).collect()).await;
     let body = match read {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => {
-            sent.target.sign(Sign::Silence, context.clock.now());
+            sent.target.observe(Sign::Silence, context.clock.now());
             return Attempt::Failed(Fate::BrokenOff, None);
         }
         Err(_) => return lost(context, &sent.target),
@@ -112,7 +112,7 @@
     target.pool.keep(connection, keep_alive(&head.headers));
     let good = !head.status.is_server_error();
     let sign = if good { Sign::Good } else { Sign::Failure };
-    target.sign(sign, context.clock.now());
+    target.observe(sign, context.clock.now());
     let response = Response::from_parts(end_to_end(head), body.to_bytes());
     if is_promise(response.status()) {
         // Such a status would promise that the request has not run.
--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -17,11 +17,11 @@
 use cinderspoke_core::rendezvous::Key;
 use http::Response;
 
-use super::ask::give_back;
 use super::context::Context;
+use super::parse::Parsed;
+use super::query::release;
 use super::record::Record;
 use super::target::{Target, Tracking};
-use super::understand::Asked;
 use super::view::{Member, View};
 
 /// How long a plain service is expected to take before it answers, for each request that it has.
@@ -88,24 +88,25 @@
     pub async fn choose(
         &self,
         context: &Context,
-        asked: &Asked,
+        parsed: &Parsed,
         record: &mut Record,
     ) -> Result<Chosen, Duration> {
         let view = context.state.view();
-        let members = view.members(&asked.service);
+        let members = view.members(&parsed.service);
         let mut search = Search::default();
         let mut places: Vec<Place> = Vec::new();
         let mut reach = Reach::Subset;
         loop {
-            let (prospects, wish) = self.look(context, asked, &view, reach);
+            let (prospects, wish) = self.look(context, parsed, &view, reach);
             let candidates: Vec<_> = prospects.iter().map(|prospect| prospect.candidate).collect();
             let choice = match search.next(&wish, &candidates) {
                 Step::Done(choice) => choice,
                 Step::Ask(numbers) => {
                     let targets = numbers.iter().map(|number| Arc::clone(&members[*number].target));
                     let targets: Vec<_> = targets.collect();
-                    let prompt = asked.call.size.prompt;
-                    let number = context.state.asker().ask(&targets, prompt, context.clock).await;
+                    let prompt = parsed.call.size.prompt;
+                    let number =
+                        context.state.queries().reserve(&targets, prompt, context.clock).await;
                     places.extend(targets.into_iter().map(|target| Place { target, number }));
                     continue;
                 }
@@ -131,7 +132,7 @@
                 }
                 Choice::Refuse { come_back, best } => {
                     settle(places, None, context);
-                    let barred = self.survey(context, asked, &view, reach).barred(members);
+                    let barred = self.survey(context, parsed, &view, reach).barred(members);
                     record.found_none(Lack {
                         members: members.len(),
                         barred,
@@ -154,12 +155,12 @@
     fn look(
         &self,
         context: &Context,
-        asked: &Asked,
+        parsed: &Parsed,
         view: &View,
         reach: Reach,
     ) -> (Vec<Prospect>, Wish) {
-        let survey = self.survey(context, asked, view, reach);
-        let members = view.members(&asked.service);
+        let survey = self.survey(context, parsed, view, reach);
+        let members = view.members(&parsed.service);
         let mut options = survey.options(members, Avoided::LeftOut);
         if options.is_empty() {
             // Better one that failed lately than none.
@@ -173,9 +174,9 @@
         }
         let wish = Wish {
             weightless: survey.engine.is_some() && members.iter().any(|one| survey.is_allowed(one)),
-            rest: survey.rest_left(members),
-            rivals: context.rivals(&asked.service, view.gateways),
-            ..self.wish(context, asked)
+            rest: survey.backoff_left(members),
+            rivals: context.rivals(&parsed.service, view.gateways),
+            ..self.wish(context, parsed)
         };
         (options, wish)
     }
@@ -184,35 +185,35 @@
     fn survey<'a>(
         &'a self,
         context: &'a Context,
-        asked: &'a Asked,
+        parsed: &'a Parsed,
         view: &'a View,
         reach: Reach,
     ) -> Survey<'a> {
         Survey {
             context,
-            asked,
+            parsed,
             tried: &self.tried,
             view,
-            engine: view.engine(&asked.service),
-            residency: residency(asked, view),
-            cold: context.state.cold_bound(view, &asked.service),
+            engine: view.engine(&parsed.service),
+            residency: residency(parsed, view),
+            cold: context.state.cold_bound(view, &parsed.service),
             reach,
             now: context.clock.now(),
         }
     }
 
     /// What the request asks of an endpoint now.
-    fn wish(&self, context: &Context, asked: &Asked) -> Wish {
-        let waited = asked.waited + context.clock.now().saturating_sub(asked.came);
+    fn wish(&self, context: &Context, parsed: &Parsed) -> Wish {
+        let waited = parsed.waited + context.clock.now().saturating_sub(parsed.arrived);
         Wish {
-            aim: asked.route.target,
-            target: asked.route.target.saturating_sub(waited),
-            deadline: asked.end.left(),
+            aim: parsed.route.target,
+            target: parsed.route.target.saturating_sub(waited),
+            deadline: parsed.deadline.left(),
             sent: self.history.sends() > 0,
             weightless: false,
             rest: None,
             rivals: 0.0,
-            spread: Key::of(asked.call.id.as_str()).as_u64(),
+            spread: Key::of(parsed.call.id.as_str()).as_u64(),
         }
     }
 }
@@ -230,7 +231,7 @@
         if chosen.is_some_and(|chosen| Arc::ptr_eq(chosen, &target)) {
             kept = Some(number);
         } else {
-            give_back(&target, number, &context.state);
+            release(&target, number, &context.state);
         }
     }
     kept
@@ -298,7 +299,7 @@
 /// What one choice looks at.
 struct Survey<'a> {
     context: &'a Context,
-    asked: &'a Asked,
+    parsed: &'a Parsed,
     tried: &'a [Endpoint],
     view: &'a View,
     engine: Option<&'a Engine>,
@@ -310,12 +311,12 @@
 }
 
 /// Where a request may be served: a configuration that has come since it was read binds it too.
-fn residency(asked: &Asked, view: &View) -> Residency {
+fn residency(parsed: &Parsed, view: &View) -> Residency {
     let catalog = view.catalog.as_ref();
-    let route = catalog.and_then(|catalog| catalog.route(&asked.call.host, &asked.call.path));
+    let route = catalog.and_then(|catalog| catalog.route(&parsed.call.host, &parsed.call.path));
     let newer = catalog.zip(route);
-    let newer = newer.map(|(catalog, route)| catalog.residency(route, asked.call.key.as_deref()));
-    asked.residency.clone().and(newer.unwrap_or_default())
+    let newer = newer.map(|(catalog, route)| catalog.residency(route, parsed.call.key.as_deref()));
+    parsed.residency.clone().and(newer.unwrap_or_default())
 }
 
 impl Survey<'_> {
@@ -328,10 +329,10 @@
 
     /// After how long the first of those members takes requests again that could answer
     /// this one but rest.
-    fn rest_left(&self, members: &[Member]) -> Option<Duration> {
+    fn backoff_left(&self, members: &[Member]) -> Option<Duration> {
         let allowed = members.iter().filter(|member| self.is_allowed(member));
         let left = |member: &Member| {
-            let left = member.target.rest_left(self.now)?;
+            let left = member.target.backoff_left(self.now)?;
             let tracking = member.target.tracking();
             (!matches!(self.weights(member, &tracking.load), Weights::Unfit)).then_some(left)
         };
@@ -368,7 +369,7 @@
 
     /// A member as a prospect, if it is one.
     fn option(&self, number: usize, member: &Member, avoided: Avoided) -> Option<Prospect> {
-        if !self.is_allowed(member) || !member.target.takes_requests(self.now) {
+        if !self.is_allowed(member) || !member.target.accepts_requests(self.now) {
             return None;
         }
         let tracking = member.target.tracking();
@@ -381,7 +382,7 @@
         let is_beyond = self.engine.is_some() && !is_heard && !member.target.reports_here();
         let is_away = !is_beyond && tracking.load.is_out_of_reach(self.now);
         let stands = is_away || tracking.load.is_stuck(self.now);
-        let avoid = state == health::State::Out || tracking.rests_until > self.now || stands;
+        let avoid = state == health::State::Out || tracking.paused_until > self.now || stands;
         if avoid && avoided == Avoided::LeftOut {
             return None;
         }
@@ -421,7 +422,7 @@
     /// The version that a member would answer with: as its agent reports, or
     /// else as it is listed.
     fn weights(&self, member: &Member, load: &Load) -> Weights {
-        let Some(model) = self.asked.call.model.as_ref().filter(|_| self.engine.is_some()) else {
+        let Some(model) = self.parsed.call.model.as_ref().filter(|_| self.engine.is_some()) else {
             return Weights::Any;
         };
         let version = match load.report(self.now) {
@@ -438,7 +439,7 @@
     fn forecast(&self, load: &Load) -> Forecast {
         let estimate = load.estimate(self.engine, self.view.gateways, self.now);
         match self.engine {
-            Some(engine) => forecast(engine, &estimate, self.asked.call.size),
+            Some(engine) => forecast(engine, &estimate, self.parsed.call.size),
             None => {
                 let wait = PLAIN_TURN.saturating_mul(load.own() as u32);
                 Forecast { wait, ..Forecast::default() }
@@ -459,7 +460,7 @@
 
     /// How much longer a version may begin requests; none while it is the newest.
     fn version_left(&self, version: Version, narrow: bool) -> Option<Duration> {
-        let model = self.asked.call.model.as_ref()?;
+        let model = self.parsed.call.model.as_ref()?;
         self.context.state.version_left(model, version, narrow)
     }
 }
--- a/src/cinderspoke/gateway/crash.rs
+++ b/src/cinderspoke/gateway/crash.rs
@@ -8,10 +8,10 @@
 use cinderspoke_core::gateway::suspect::{Crash, News};
 
 use super::context::Context;
+use super::parse::Parsed;
 use super::target::Target;
-use super::understand::Asked;
 
-impl Asked {
+impl Parsed {
     /// What is the same in all attempts at this request.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
@@ -52,15 +52,15 @@
 /// is suspected already waits, so that it ends no endpoint more than it has to.
 pub async fn look_into(
     context: &Arc<Context>,
-    asked: &Asked,
+    parsed: &Parsed,
     target: &Arc<Target>,
     sent: Duration,
 ) {
     let broken = Broken {
         context: Arc::clone(context),
         target: Arc::clone(target),
-        request: asked.call.id.clone(),
-        fingerprint: asked.fingerprint(),
+        request: parsed.call.id.clone(),
+        fingerprint: parsed.fingerprint(),
         sent,
         broke: context.clock.now(),
     };
--- a/src/cinderspoke/gateway/forward.rs
+++ b/src/cinderspoke/gateway/forward.rs
@@ -13,10 +13,10 @@
 use super::choose::Sends;
 use super::context::Context;
 use super::crash;
+use super::parse::{self, Parsed};
 use super::passing;
 use super::record::Record;
 use super::refusal::{Body, COME_BACK, Refusal, whole};
-use super::understand::{Asked, understand};
 
 /// The least time in which an endpoint can do anything: less is not sent.
 const LEAST_LEFT: Duration = Duration::from_millis(25);
@@ -30,15 +30,15 @@
     let (head, body) = request.into_parts();
     let id = context.dialect.request(&head);
     let mut record = Record::new(id.clone(), arrived, context.begin());
-    let asked = match context.dialect.read(&head) {
-        Ok(call) => understand(context, call, head, body, arrived_at, &mut record).await,
+    let parsed = match context.dialect.read(&head) {
+        Ok(call) => parse::receive(context, call, head, body, arrived_at, &mut record).await,
         Err(misfit) => {
             record.misfitting(&misfit);
             Err(Refusal::bad(StatusCode::BAD_REQUEST, "the request cannot be understood"))
         }
     };
-    let mut response = match asked {
-        Ok(asked) => forward(context, asked, record).await,
+    let mut response = match parsed {
+        Ok(parsed) => forward(context, parsed, record).await,
         Err(refusal) => {
             record.refused(refusal.status, refusal.why);
             context.refuse(&refusal)
@@ -61,46 +61,46 @@
 }
 
 /// Sends a request until an endpoint answers or nothing more may be tried.
-async fn forward(context: &Arc<Context>, asked: Asked, mut record: Record) -> Response<Body> {
-    context.earn_repeat(&asked.service);
-    context.demanded(&asked.service);
+async fn forward(context: &Arc<Context>, parsed: Parsed, mut record: Record) -> Response<Body> {
+    context.earn_repeat(&parsed.service);
+    context.demanded(&parsed.service);
     let mut sends = Sends::default();
     let (why, come_back) = loop {
-        if let Some(left) = context.holds_back(&asked) {
-            record.held_back(asked.fingerprint());
+        if let Some(left) = context.holds_back(&parsed) {
+            record.held_back(parsed.fingerprint());
             break (Why::EndsEndpoints, left);
         }
-        let chosen = match sends.choose(context, &asked, &mut record).await {
+        let chosen = match sends.choose(context, &parsed, &mut record).await {
             Ok(chosen) => chosen,
             Err(come_back) => break (Why::NoEndpoint, come_back),
         };
-        if sends.history.sends() > 0 && !context.spend_repeat(&asked.service) {
+        if sends.history.sends() > 0 && !context.spend_repeat(&parsed.service) {
             break (Why::NoEndpoint, COME_BACK);
         }
         sends.tried.push(chosen.target.name.clone());
         let sent = context.clock.now();
-        let (fate, failure) = match attempt(context, &asked, &chosen, &mut record).await {
+        let (fate, failure) = match attempt(context, &parsed, &chosen, &mut record).await {
             Attempt::Whole(response) => {
                 if response.status().is_success() {
-                    context.was_served(&asked);
+                    context.was_served(&parsed);
                 }
                 record.answered(response.status());
                 return response.map(whole);
             }
             Attempt::Stream(head, live) => {
-                return passing::pass_on(context, asked, sends, record, head, live);
+                return passing::pass_on(context, parsed, sends, record, head, live);
             }
             Attempt::Failed(fate, failure) => (fate, failure),
         };
         record.failed_send(&chosen.target.name, fate);
         if fate == Fate::BrokenOff {
-            crash::look_into(context, &asked, &chosen.target, sent).await;
+            crash::look_into(context, &parsed, &chosen.target, sent).await;
         }
         sends.record(fate);
         sends.failed(failure);
-        let repeatable = asked.route.kind.repeatable();
-        let affordable = asked.end.left() > LEAST_LEFT && sends.unsent < MOST_UNSENT;
-        if sends.history.next(repeatable, asked.route.attempts, affordable) != Next::Retry {
+        let repeatable = parsed.route.kind.repeatable();
+        let affordable = parsed.deadline.left() > LEAST_LEFT && sends.unsent < MOST_UNSENT;
+        if sends.history.next(repeatable, parsed.route.attempts, affordable) != Next::Retry {
             break (Why::NoEndpoint, COME_BACK);
         }
     };
@@ -108,7 +108,7 @@
         record.answered(failure.status());
         return failure.map(whole);
     }
-    let refusal = unanswered(&asked, sends.history.promise(), why, come_back);
+    let refusal = unanswered(&parsed, sends.history.promise(), why, come_back);
     record.refused(refusal.status, refusal.why);
     context.refuse(&refusal)
 }
@@ -132,10 +132,10 @@
 }
 
 /// The refusal of a request that no endpoint answered; says no more than is true.
-fn unanswered(asked: &Asked, promise: Promise, why: Why, come_back: Duration) -> Refusal {
+fn unanswered(parsed: &Parsed, promise: Promise, why: Why, come_back: Duration) -> Refusal {
     match promise {
         Promise::NotRun => Refusal::not_run(why.as_str(), come_back),
-        Promise::Nothing if asked.end.left() <= LEAST_LEFT => {
+        Promise::Nothing if parsed.deadline.left() <= LEAST_LEFT => {
             Refusal::bad(StatusCode::GATEWAY_TIMEOUT, "no answer came in time")
         }
         Promise::Nothing => {
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -98,7 +98,7 @@
         let Self { keeper, targets, by_address, notices, .. } = self;
         let entries = &keeper.directory().entries;
         targets.retain(|name, target| {
-            let kept = entries.get(name).is_some_and(|entry| target.is_of(entry));
+            let kept = entries.get(name).is_some_and(|entry| target.matches(entry));
             if !kept {
                 target.pool.clear();
             }
@@ -107,7 +107,7 @@
         for (name, entry) in entries {
             let new = || Arc::new(Target::new(name.clone(), entry, notices));
             let target = targets.entry(name.clone()).or_insert_with(new);
-            target.listed_cold(entry.cold, now);
+            target.set_listed_cold(entry.cold, now);
         }
         let addressed = entries.iter().filter_map(|(name, entry)| {
             let target = targets.get(name)?;
--- a/src/cinderspoke/gateway/mod.rs
+++ b/src/cinderspoke/gateway/mod.rs
@@ -9,12 +9,12 @@
 //!   they cost. The agents of a [`subset`] of engines report here; what agents have to know is a [`plan`]; of what is [`outstanding`] at their
 //!   engines they are told as it changes.
 //! - [`serve`] takes callers' requests, whose [`head`] has to come in time, and
-//!   [`forward`] brings them to endpoints: it has [`understand`] read what is asked
-//!   and [`choose`] name an endpoint, under load after it had their agents [`ask`]ed;
+//!   [`forward`] brings them to endpoints: [`parse`] reads the request
+//!   and [`choose`] name an endpoint, under load after a [`query`] to the agents;
 //!   [`send`] sends over the connections of a [`pool`], each a [`socket`], [`answer`]
 //!   reads what comes back, and what no endpoint answers ends in a [`refusal`].
 //! - [`crash`] finds out whether an endpoint ended under a request, [`suspects`] are
-//!   those under which some did; [`holds`] keeps in the store which are held back for it.
+//!   those under which some did; [`quarantine`] keeps in the store which are quarantined for it.
 //! - [`stream`] is an answer in events; [`passing`] passes it on and has another
 //!   endpoint go on with it.
 //! - [`versions`] says which versions were named, [`zones`] which availability zones receive nothing, and which endpoints are cold.
@@ -23,7 +23,6 @@
 
 pub mod agents;
 pub mod answer;
-pub mod ask;
 pub mod choose;
 pub mod context;
 pub mod crash;
@@ -32,14 +31,16 @@
 pub mod follow;
 pub mod forward;
 pub mod head;
-pub mod holds;
 pub mod inner;
 pub mod message;
 pub mod notices;
 pub mod outstanding;
+pub mod parse;
 pub mod passing;
 pub mod plan;
 pub mod pool;
+pub mod quarantine;
+pub mod query;
 pub mod record;
 pub mod refusal;
 pub mod region;
@@ -54,7 +55,6 @@
 pub mod suspects;
 pub mod target;
 pub mod terms;
-pub mod understand;
 pub mod versions;
 pub mod view;
 pub mod zones;
@@ -141,8 +141,8 @@
         tokio::spawn(serve::router(inner, app, stop.clone()));
         relay.spawn(stop.clone());
         follow::spawn(&state, &parts.registry, settings, stop.clone());
-        let holds = holds::keep(Arc::clone(&state), parts.holds);
-        tokio::spawn(until(stop.clone(), holds));
+        let quarantine = quarantine::synchronize(Arc::clone(&state), parts.holds);
+        tokio::spawn(until(stop.clone(), quarantine));
         tracing::info!(instance = %*settings.instance, callers = %listen.callers, "gateway started");
         Ok(Self { context, stop })
     }
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -7,9 +7,9 @@
 use cinderspoke_ports::gateway::AnswerHead;
 
 use super::context::Context;
+use super::parse::Parsed;
 use super::state::State;
 use super::target::Target;
-use super::understand::Asked;
 
 impl Context {
     /// Takes in what the head of an answer says of its endpoint, whatever becomes of the
@@ -17,14 +17,14 @@
     ///
     /// The list of endpoints reports this later, and not at all while the store accepts no
     /// writes. Without this, requests would still be sent to endpoints that leave or rest.
-    pub fn heed(&self, asked: &Asked, target: &Arc<Target>, said: &AnswerHead) {
-        if said.leaves && !target.leaves() {
-            let (id, endpoint) = (&asked.call.id, &target.name);
+    pub fn heed(&self, parsed: &Parsed, target: &Arc<Target>, said: &AnswerHead) {
+        if said.leaves && !target.is_draining() {
+            let (id, endpoint) = (&parsed.call.id, &target.name);
             tracing::info!(%id, %endpoint, "an endpoint says that it leaves");
             self.state.leaves(target.run, "answer");
         }
         if let Some(cold) = said.cold {
-            target.is_cold_until(self.clock.now() + cold);
+            target.extend_cold(self.clock.now() + cold);
         }
         if let Some(rest) = said.rest {
             self.state.rests(target, rest);
@@ -47,7 +47,7 @@
     /// Takes in what an agent heard of its engine's leaving. The word may be of another run
     /// than the one that is listed.
     pub(super) fn told_departure(&self, target: &Target, departure: Departure) {
-        if target.is_of_start(departure.start) && !target.leaves() {
+        if target.matches_start(departure.start) && !target.is_draining() {
             self.leaves(target.run, "agent");
         }
     }
@@ -70,13 +70,13 @@
     /// Takes in that an endpoint wants no requests of this gateway for a while.
     fn rests(&self, target: &Target, rest: Duration) {
         let until = self.clock().now().saturating_add(rest);
-        target.wants_none_until(until);
+        target.extend_backoff(until);
         let mut inner = self.lock();
         inner.notices.rests(target.run, until);
         // Its entry may have gone and come back since the request was sent.
         let known = inner.targets.get(&target.name).filter(|known| known.run == target.run);
         if let Some(known) = known {
-            known.wants_none_until(until);
+            known.extend_backoff(until);
         }
     }
 }
--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -19,12 +19,12 @@
 
 /// Endpoints at which something has changed that their agents were not told.
 #[derive(Debug, Default)]
-pub struct Untold {
+pub struct Changes {
     targets: Mutex<Vec<Arc<Target>>>,
     added: Notify,
 }
 
-impl Untold {
+impl Changes {
     fn lock(&self) -> MutexGuard<'_, Vec<Arc<Target>>> {
         self.targets.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -45,26 +45,26 @@
 }
 
 /// Tells agents of changes soon, and from time to time of what stays.
-pub async fn tell(state: &State, socket: &UdpSocket, own: SocketAddr) {
-    let untold = state.untold();
+pub async fn publish(state: &State, socket: &UdpSocket, own: SocketAddr) {
+    let changes = state.outstanding_changes();
     let mut repeat = Instant::now() + REPEAT;
     loop {
-        if timeout_at(repeat, untold.added.notified()).await.is_ok() {
+        if timeout_at(repeat, changes.added.notified()).await.is_ok() {
             sleep(GATHER).await;
         } else {
             repeat = Instant::now() + REPEAT;
-            state.targets().iter().filter(|target| target.is_busy()).for_each(|target| {
-                untold.add(target);
+            state.targets().iter().filter(|target| target.has_outstanding()).for_each(|target| {
+                changes.add(target);
             });
         }
-        for target in untold.take() {
-            tell_of(&target, state, socket, own).await;
+        for target in changes.take() {
+            send_count(&target, state, socket, own).await;
         }
     }
 }
 
 /// Tells an endpoint's agent, if it has one.
-async fn tell_of(target: &Target, state: &State, socket: &UdpSocket, own: SocketAddr) {
+async fn send_count(target: &Target, state: &State, socket: &UdpSocket, own: SocketAddr) {
     let sent = state.clock().now();
     let (agent, outstanding, decided_before) = {
         let mut tracking = target.tracking();
--- a/src/cinderspoke/gateway/understand.rs
+++ b/src/cinderspoke/gateway/parse.rs
@@ -20,7 +20,7 @@
 use crate::util::clock::Deadline;
 
 /// A request read whole, and what it asks.
-pub struct Asked {
+pub struct Parsed {
     /// What is known of it.
     pub call: Call,
     /// Its head, with the caller's headers.
@@ -39,9 +39,9 @@
     pub residency: Residency,
     /// When it had come whole, by the gateway's clock. What its body took on the way is its own
     /// time: limits on the wait for others count from here.
-    pub came: Duration,
+    pub arrived: Duration,
     /// When its caller needs no answer any more.
-    pub end: Deadline,
+    pub deadline: Deadline,
     /// How long its caller had waited before this attempt.
     pub waited: Duration,
     /// Tells it apart from other requests; made when it is first needed.
@@ -62,14 +62,14 @@
 /// # Errors
 ///
 /// When it may go nowhere, or does not come whole in time.
-pub async fn understand(
+pub async fn receive(
     context: &Arc<Context>,
     call: Call,
     head: request::Parts,
     body: Incoming,
     arrived: Duration,
     record: &mut Record,
-) -> Result<Asked, Refusal> {
+) -> Result<Parsed, Refusal> {
     if context.is_closing() {
         // It could not be finished before the process has to end.
         return Err(Refusal::not_run("the gateway is stopping", ELSEWHERE));
@@ -86,18 +86,18 @@
     record.route = route.name.clone();
     record.size = call.size;
     record.goes_to(view.engine(&service));
-    let deadline = call.deadline.unwrap_or(route.timeout);
+    let timeout = call.deadline.unwrap_or(route.timeout);
     let since = context.clock.now().saturating_sub(arrived);
-    let end = context.clock.after(deadline.min(route.timeout).saturating_sub(since));
-    let waited = context.waited_before(&route, deadline);
+    let deadline = context.clock.after(timeout.min(route.timeout).saturating_sub(since));
+    let waited = context.waited_before(&route, timeout);
     record.waited = waited;
     (record.aim, record.gap_aim) = (route.target, route.target_gap);
     let limits = catalog.declared().limits;
-    let body = read_body(body, &limits, &end).await?;
+    let body = read_body(body, &limits, &deadline).await?;
     record.body_bytes = Some(body.len() as u64);
-    let came = context.clock.now();
+    let arrived = context.clock.now();
     let fingerprint = OnceLock::new();
-    Ok(Asked {
+    Ok(Parsed {
         call,
         head,
         body,
@@ -106,8 +106,8 @@
         team,
         priority,
         residency,
-        came,
-        end,
+        arrived,
+        deadline,
         waited,
         fingerprint,
     })
@@ -135,9 +135,9 @@
 }
 
 /// Reads a body that is neither too large nor too late.
-async fn read_body(body: Incoming, limits: &Limits, end: &Deadline) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, limits: &Limits, deadline: &Deadline) -> Result<Bytes, Refusal> {
     let limit = usize::try_from(limits.body_bytes).unwrap_or(usize::MAX);
-    let read = end.bound(Limited::new(body, limit).collect()).await;
+    let read = deadline.bound(Limited::new(body, limit).collect()).await;
     let Ok(read) = read else {
         return Err(Refusal::bad(StatusCode::REQUEST_TIMEOUT, "the request did not come in time"));
     };
--- a/src/cinderspoke/gateway/passing.rs
+++ b/src/cinderspoke/gateway/passing.rs
@@ -17,11 +17,11 @@
 use super::choose::{Chosen, Sends};
 use super::context::Context;
 use super::crash;
+use super::parse::Parsed;
 use super::record::Record;
 use super::refusal::Body;
 use super::send::{begins_until, refused, send};
 use super::stream::{Live, Part, Stopped};
-use super::understand::Asked;
 use crate::util::clock::Deadline;
 
 /// How long an endpoint may be silent in the middle of a stream before another
@@ -31,7 +31,7 @@
 /// A stream on its way to its caller.
 struct Passing {
     context: Arc<Context>,
-    asked: Asked,
+    parsed: Parsed,
     sends: Sends,
     record: Record,
     live: Option<Box<Live>>,
@@ -43,7 +43,7 @@
 /// Makes the answer to a caller out of a stream that has begun.
 pub fn pass_on(
     context: &Arc<Context>,
-    asked: Asked,
+    parsed: Parsed,
     mut sends: Sends,
     record: Record,
     head: response::Parts,
@@ -52,10 +52,10 @@
     let head = end_to_end(head);
     // The send that runs counts as one that has run.
     sends.record(Fate::Lost);
-    let last = asked.call.after;
+    let last = parsed.call.after;
     let passing = Passing {
         context: Arc::clone(context),
-        asked,
+        parsed,
         sends,
         record,
         live: Some(live),
@@ -91,11 +91,11 @@
                     if let Some(live) = self.live.take() {
                         live.finish();
                     }
-                    self.context.was_served(&self.asked);
+                    self.context.was_served(&self.parsed);
                     self.record.answered(self.status);
                     return None;
                 }
-                Err(Stopped::Silent) if self.asked.end.is_over() => {
+                Err(Stopped::Silent) if self.parsed.deadline.is_over() => {
                     return Some(Err(self.break_off("no time is left")));
                 }
                 Err(stopped) => self.resume(stopped).await,
@@ -106,12 +106,12 @@
     /// Until when the endpoint may be silent: where no other one could go on,
     /// silence is no reason to end the stream.
     fn patient_until(&self) -> Deadline {
-        let repeatable = self.asked.route.kind.repeatable();
-        let next = self.sends.history.next(repeatable, self.asked.route.attempts, true);
+        let repeatable = self.parsed.route.kind.repeatable();
+        let next = self.sends.history.next(repeatable, self.parsed.route.attempts, true);
         if self.last.is_some() && next == Next::Retry {
-            self.context.clock.after(SILENCE).min(self.asked.end)
+            self.context.clock.after(SILENCE).min(self.parsed.deadline)
         } else {
-            self.asked.end
+            self.parsed.deadline
         }
     }
 
@@ -137,24 +137,24 @@
     /// Has another endpoint go on after the last whole event.
     async fn resume(&mut self, stopped: Stopped) {
         let Some(live) = self.live.take() else { return };
-        live.target().sign(Sign::Silence, self.context.clock.now());
+        live.target().observe(Sign::Silence, self.context.clock.now());
         self.record.failed_send(&live.target().name, stopped.fate());
         if stopped == Stopped::BrokeOff {
-            crash::look_into(&self.context, &self.asked, live.target(), live.sent_at()).await;
+            crash::look_into(&self.context, &self.parsed, live.target(), live.sent_at()).await;
         }
         drop(live);
         // Without a number there is nothing to go on after.
         let Some(last) = self.last else { return };
         loop {
-            let resumable = self.asked.route.kind.repeatable();
-            let time_left = !self.asked.end.is_over();
-            let next = self.sends.history.next(resumable, self.asked.route.attempts, time_left);
-            if next != Next::Retry || self.context.holds_back(&self.asked).is_some() {
+            let resumable = self.parsed.route.kind.repeatable();
+            let time_left = !self.parsed.deadline.is_over();
+            let next = self.sends.history.next(resumable, self.parsed.route.attempts, time_left);
+            if next != Next::Retry || self.context.holds_back(&self.parsed).is_some() {
                 return;
             }
-            let choice = self.sends.choose(&self.context, &self.asked, &mut self.record);
+            let choice = self.sends.choose(&self.context, &self.parsed, &mut self.record);
             let Ok(chosen) = choice.await else { return };
-            if !self.context.spend_repeat(&self.asked.service) {
+            if !self.context.spend_repeat(&self.parsed.service) {
                 return;
             }
             self.sends.tried.push(chosen.target.name.clone());
@@ -169,7 +169,7 @@
                 Err(fate) => {
                     self.record.failed_send(&chosen.target.name, fate);
                     if fate == Fate::BrokenOff {
-                        crash::look_into(&self.context, &self.asked, &chosen.target, sent).await;
+                        crash::look_into(&self.context, &self.parsed, &chosen.target, sent).await;
                     }
                     self.sends.record(fate);
                 }
@@ -179,13 +179,13 @@
 
     /// Asks an endpoint to go on after an event.
     async fn go_on(&self, chosen: &Chosen, last: u64) -> Result<Box<Live>, Fate> {
-        let until = begins_until(&self.context, &self.asked, chosen, SILENCE);
-        let answer = send(&self.context, &self.asked, chosen, Some(last), &until).await?;
-        if answer.said.request.as_ref() != Some(&self.asked.call.id) {
+        let until = begins_until(&self.context, &self.parsed, chosen, SILENCE);
+        let answer = send(&self.context, &self.parsed, chosen, Some(last), &until).await?;
+        if answer.said.request.as_ref() != Some(&self.parsed.call.id) {
             return Err(Fate::Lost);
         }
         if answer.said.not_run {
-            refused(&self.context, &self.asked, answer).await;
+            refused(&self.context, &self.parsed, answer).await;
             return Err(Fate::Refused);
         }
         if is_encoded(&answer.head) {
--- a/src/cinderspoke/gateway/holds.rs
+++ b/src/cinderspoke/gateway/quarantine.rs
@@ -31,7 +31,7 @@
 
 /// What the store is to be told or asked.
 #[derive(Debug, Default)]
-pub struct Due {
+pub struct Pending {
     due: Mutex<Orders>,
     added: Notify,
 }
@@ -43,19 +43,19 @@
     look: bool,
 }
 
-impl Due {
+impl Pending {
     fn lock(&self) -> MutexGuard<'_, Orders> {
         self.due.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Has the store told whether a request is held back.
-    pub fn tell(&self, request: Fingerprint, held: bool) {
+    pub fn set(&self, request: Fingerprint, held: bool) {
         self.lock().holds.insert(request, held);
         self.added.notify_one();
     }
 
     /// Has the store asked what is held back, soon.
-    pub fn look(&self) {
+    pub fn request_read(&self) {
         self.lock().look = true;
         self.added.notify_one();
     }
@@ -66,8 +66,8 @@
 }
 
 /// Learns from the store what is held back, and tells it, whatever fails.
-pub async fn keep(state: Arc<State>, store: Arc<dyn Holds>) {
-    let due = state.suspects().due();
+pub async fn synchronize(state: Arc<State>, store: Arc<dyn Holds>) {
+    let due = state.suspects().pending();
     let mut look_at = None;
     let mut looked = Instant::now();
     let mut first = pin!(reads_or_is_alone(&state));
--- a/src/cinderspoke/gateway/ask.rs
+++ b/src/cinderspoke/gateway/query.rs
@@ -21,7 +21,7 @@
 
 /// Questions to agents that are waited for.
 #[derive(Debug, Default)]
-pub struct Asker {
+pub struct Queries {
     // Where agents answer to, and what is sent over; none before it is known.
     socket: OnceLock<(SocketAddr, Arc<UdpSocket>)>,
     // How each question's answers reach those who wait for them, by its number.
@@ -30,19 +30,19 @@
 }
 
 /// A question to some agents; it is forgotten when it is dropped.
-struct Question<'a> {
-    asker: &'a Asker,
+struct Query<'a> {
+    queries: &'a Queries,
     number: u64,
     answers: mpsc::UnboundedReceiver<()>,
 }
 
-impl Drop for Question<'_> {
+impl Drop for Query<'_> {
     fn drop(&mut self) {
-        self.asker.lock().remove(&self.number);
+        self.queries.lock().remove(&self.number);
     }
 }
 
-impl Asker {
+impl Queries {
     /// Has agents asked over a socket, and answer to an address.
     pub fn attach(&self, own: SocketAddr, socket: Arc<UdpSocket>) {
         self.socket.get_or_init(|| (own, socket));
@@ -53,26 +53,26 @@
     }
 
     /// Takes in that an agent has answered; what it said is known by now.
-    pub fn answered(&self, number: u64) {
+    pub fn record_answer(&self, number: u64) {
         if let Some(waiting) = self.lock().get(&number) {
             // Whoever asked may just have given up.
             waiting.send(()).unwrap_or_default();
         }
     }
 
-    fn begin(&self) -> Question<'_> {
+    fn begin(&self) -> Query<'_> {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let (waiting, answers) = mpsc::unbounded_channel();
         self.lock().insert(number, waiting);
-        Question { asker: self, number, answers }
+        Query { queries: self, number, answers }
     }
 
     /// Asks the agents of some endpoints for a place for a request with so many prompt
     /// tokens, and waits until all have answered or it takes too long; gives the number
     /// under which the places are open.
-    pub async fn ask(&self, targets: &[Arc<Target>], prompt: u32, clock: Clock) -> u64 {
-        let mut question = self.begin();
-        let number = question.number;
+    pub async fn reserve(&self, targets: &[Arc<Target>], prompt: u32, clock: Clock) -> u64 {
+        let mut query = self.begin();
+        let number = query.number;
         let Some((own, socket)) = self.socket.get() else { return number };
         let mut missing = 0;
         for target in targets {
@@ -90,7 +90,7 @@
             send(socket, agent, &pack(&ask)).await;
         }
         let all = async {
-            while missing > 0 && question.answers.recv().await.is_some() {
+            while missing > 0 && query.answers.recv().await.is_some() {
                 missing -= 1;
             }
         };
@@ -102,7 +102,7 @@
 }
 
 /// Gives a place back that was asked for under a number.
-pub fn give_back(target: &Arc<Target>, number: u64, state: &State) {
+pub fn release(target: &Arc<Target>, number: u64, state: &State) {
     target.tracking().load.open.decided(number);
-    state.untold().add(target);
+    state.outstanding_changes().add(target);
 }
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -76,7 +76,7 @@
         let own = inner_address(settings);
         let planner = Planner::new(Arc::clone(&state));
         let (agents, socket) = (Agents::default(), Arc::new(socket));
-        state.asker().attach(own, Arc::clone(&socket));
+        state.queries().attach(own, Arc::clone(&socket));
         Self {
             own,
             region: settings.region.as_str().into(),
@@ -133,7 +133,7 @@
                     let endpoint = (service.clone(), engine);
                     self.state.reported(endpoint, from, report, told, answers.is_some());
                     if let Some(number) = answers {
-                        self.state.asker().answered(number);
+                        self.state.queries().record_answer(number);
                         continue;
                     }
                     self.state.told_ages(&ages, "agent");
@@ -289,7 +289,7 @@
 
     /// Tells agents what this gateway has outstanding at their engines.
     async fn tell_outstanding(self: Arc<Self>) {
-        outstanding::tell(&self.state, &self.socket, self.own).await;
+        outstanding::publish(&self.state, &self.socket, self.own).await;
     }
 
     /// Has the agents of some engines report here.
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -12,13 +12,13 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-use super::ask::give_back;
 use super::choose::Chosen;
 use super::context::Context;
-use super::outstanding::Untold;
+use super::outstanding::Changes;
+use super::parse::Parsed;
 use super::pool::{Connection, Taken};
+use super::query::release;
 use super::target::Target;
-use super::understand::Asked;
 use crate::util::clock::Deadline;
 
 /// The largest answer that is held until it is whole.
@@ -43,28 +43,28 @@
     pub at: Duration,
     number: u64,
     // Where its agent's news are gathered.
-    untold: Arc<Untold>,
+    changes: Arc<Changes>,
 }
 
 impl Sent {
     /// Counts a request as sent to an endpoint.
-    fn new(context: &Context, asked: &Asked, chosen: &Chosen) -> Self {
+    fn new(context: &Context, parsed: &Parsed, chosen: &Chosen) -> Self {
         let (number, target) = (context.number(), Arc::clone(&chosen.target));
-        let (prompt, now) = (asked.call.size.prompt, context.clock.now());
+        let (prompt, now) = (parsed.call.size.prompt, context.clock.now());
         {
             let load = &mut target.tracking().load;
             load.sent(number, prompt, chosen.first, now);
             chosen.place.iter().for_each(|place| load.open.decided(*place));
         }
-        let untold = context.state.untold();
-        untold.add(&target);
-        Self { target, at: now, number, untold }
+        let changes = context.state.outstanding_changes();
+        changes.add(&target);
+        Self { target, at: now, number, changes }
     }
 
     /// Takes in that the answer has begun.
     pub fn begun(&self) {
         self.target.tracking().load.begun(self.number);
-        self.untold.add(&self.target);
+        self.changes.add(&self.target);
     }
 
     /// Ends the request at the endpoint, which stays of use to the caller.
@@ -77,7 +77,7 @@
 impl Drop for Sent {
     fn drop(&mut self) {
         self.target.tracking().load.ended(self.number);
-        self.untold.add(&self.target);
+        self.changes.add(&self.target);
     }
 }
 
@@ -103,7 +103,7 @@
 /// What became of the request when no head came in time.
 pub async fn send(
     context: &Context,
-    asked: &Asked,
+    parsed: &Parsed,
     chosen: &Chosen,
     after: Option<u64>,
     until: &Deadline,
@@ -115,31 +115,31 @@
         Ok(taken) => taken,
         Err(error) => {
             tracing::debug!(endpoint = %target.name, error = format!("{error:#}"), "connecting");
-            target.sign(Sign::Silence, context.clock.now());
-            chosen.place.iter().for_each(|place| give_back(target, *place, &context.state));
+            target.observe(Sign::Silence, context.clock.now());
+            chosen.place.iter().for_each(|place| release(target, *place, &context.state));
             return Err(Fate::NotSent);
         }
     };
-    let sent = Sent::new(context, asked, chosen);
-    let request = request(context, asked, chosen, after);
-    let stale = stale_after(asked, chosen).filter(|_| rested);
+    let sent = Sent::new(context, parsed, chosen);
+    let request = request(context, parsed, chosen, after);
+    let stale = stale_after(parsed, chosen).filter(|_| rested);
     let until = stale.map_or(*until, |stale| context.clock.after(stale).min(*until));
     match until.bound(connection.try_send_request(request)).await {
         Ok(Ok(response)) => {
             let (head, body) = response.into_parts();
             let said = context.dialect.answer(&head);
-            context.heed(asked, target, &said);
+            context.heed(parsed, target, &said);
             Ok(Answer { head, said, body, connection, sent })
         }
         Ok(Err(mut error)) => {
             let unsent = error.take_message().is_some();
             let cause = error.error().to_string();
             tracing::debug!(endpoint = %target.name, unsent, cause, "sending");
-            target.sign(Sign::Silence, context.clock.now());
+            target.observe(Sign::Silence, context.clock.now());
             Err(if unsent { Fate::NotSent } else { Fate::BrokenOff })
         }
         Err(_) => {
-            target.sign(Sign::Stall, context.clock.now());
+            target.observe(Sign::Stall, context.clock.now());
             Err(if stale.is_some() { Fate::Stale } else { Fate::Lost })
         }
     }
@@ -150,30 +150,30 @@
 ///
 /// Nothing tells a silent connection from a slow endpoint. Half of the time that is left is
 /// kept for a new one; without it, such a request waits for all of it in vain.
-fn stale_after(asked: &Asked, chosen: &Chosen) -> Option<Duration> {
-    let patience = (chosen.first * 2 + STALE).min(asked.end.left() / 2);
-    asked.route.kind.repeatable().then_some(patience)
+fn stale_after(parsed: &Parsed, chosen: &Chosen) -> Option<Duration> {
+    let patience = (chosen.first * 2 + STALE).min(parsed.deadline.left() / 2);
+    parsed.route.kind.repeatable().then_some(patience)
 }
 
 /// The request as the endpoint gets it.
 fn request(
     context: &Context,
-    asked: &Asked,
+    parsed: &Parsed,
     chosen: &Chosen,
     after: Option<u64>,
 ) -> Request<Full<Bytes>> {
-    let path = asked.head.uri.path_and_query().map_or("/", |path| path.as_str());
-    let mut request = Request::new(Full::new(asked.body.clone()));
-    *request.method_mut() = asked.head.method.clone();
+    let path = parsed.head.uri.path_and_query().map_or("/", |path| path.as_str());
+    let mut request = Request::new(Full::new(parsed.body.clone()));
+    *request.method_mut() = parsed.head.method.clone();
     *request.uri_mut() = path.parse().unwrap_or_default();
-    *request.headers_mut() = asked.head.headers.clone();
+    *request.headers_mut() = parsed.head.headers.clone();
     let sending = Sending {
         endpoint: &chosen.target.name,
         version: chosen.version,
-        left: asked.end.left(),
-        team: asked.team.as_ref(),
-        priority: asked.priority,
-        after: after.or(asked.call.after),
+        left: parsed.deadline.left(),
+        team: parsed.team.as_ref(),
+        priority: parsed.priority,
+        after: after.or(parsed.call.after),
     };
     context.dialect.address(request.headers_mut(), &sending);
     request
@@ -183,7 +183,7 @@
 /// what is expected of it, which is longer the larger it is, and some slack.
 pub fn begins_until(
     context: &Context,
-    asked: &Asked,
+    parsed: &Parsed,
     chosen: &Chosen,
     slack: Duration,
 ) -> Deadline {
@@ -191,16 +191,16 @@
     // What has not begun by then may not begin on the old version any more.
     let version_ends = chosen.version_left.map_or(Duration::MAX, |left| left + BEGIN_MARGIN);
     let patience = patience.min(version_ends);
-    context.clock.after(patience).min(asked.end)
+    context.clock.after(patience).min(parsed.deadline)
 }
 
 /// Takes in that an endpoint has refused a request without running it.
-pub async fn refused(context: &Context, asked: &Asked, answer: Answer) {
+pub async fn refused(context: &Context, parsed: &Parsed, answer: Answer) {
     let Answer { head, said, body, connection, sent } = answer;
     let target = &sent.target;
-    target.rest(context.clock.now());
+    target.record_refusal(context.clock.now());
     tracing::info!(
-        id = %asked.call.id,
+        id = %parsed.call.id,
         endpoint = %target.name,
         status = head.status.as_u16(),
         rest_ms = said.rest.map(|rest| rest.as_millis() as u64),
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -20,10 +20,10 @@
 use cinderspoke_core::swarm::Distance;
 use cinderspoke_schema::settings;
 
-use super::ask::Asker;
 use super::inner::Inner;
 use super::message::Known;
-use super::outstanding::Untold;
+use super::outstanding;
+use super::query::Queries;
 use super::suspects::Suspects;
 use super::target::Target;
 use super::terms::Terms;
@@ -46,8 +46,8 @@
     changes: Signal,
     doubts: Signal,
     kept: Signal,
-    untold: Arc<Untold>,
-    asker: Asker,
+    outstanding_changes: Arc<outstanding::Changes>,
+    queries: Queries,
     suspects: Suspects,
     terms: ArcSwap<Terms>,
     zone: Zone,
@@ -69,8 +69,8 @@
             changes: Signal::default(),
             doubts: Signal::default(),
             kept: Signal::default(),
-            untold: Arc::default(),
-            asker: Asker::default(),
+            outstanding_changes: Arc::default(),
+            queries: Queries::default(),
             suspects: Suspects::new(&settings.instance),
             terms: ArcSwap::from_pointee(terms),
             zone: settings.zone.as_str().into(),
@@ -145,14 +145,14 @@
 
     /// Endpoints at which something has changed that their agents were not told.
     #[must_use]
-    pub fn untold(&self) -> Arc<Untold> {
-        Arc::clone(&self.untold)
+    pub fn outstanding_changes(&self) -> Arc<outstanding::Changes> {
+        Arc::clone(&self.outstanding_changes)
     }
 
     /// Asks agents what their engines hold.
     #[must_use]
-    pub fn asker(&self) -> &Asker {
-        &self.asker
+    pub fn queries(&self) -> &Queries {
+        &self.queries
     }
 
     /// All endpoints.
@@ -338,7 +338,7 @@
             let now = self.clock.now();
             if let Some(cold) = cold.filter(|_| tracking.load.report(now).is_none()) {
                 // It may have started anew while nothing was heard of it.
-                target.is_cold_until(now + cold.lasts);
+                target.extend_cold(now + cold.lasts);
             }
             tracking.load.reported(report, told, now);
             if is_answer {
@@ -416,7 +416,7 @@
     /// Has runs of endpoints get nothing more, since they leave.
     pub(super) fn leave(&self, inner: &mut Inner, runs: &[Run], from: &str) {
         for target in inner.targets.values().filter(|target| runs.contains(&target.run)) {
-            target.leave();
+            target.set_draining();
             tracing::info!(endpoint = %target.name, from, "endpoint leaves");
         }
         self.show(inner);
@@ -425,7 +425,7 @@
     /// Makes what is known visible to requests.
     pub(super) fn show(&self, inner: &mut Inner) {
         let mut members: BTreeMap<Service, Vec<Member>> = BTreeMap::new();
-        for (target, entry) in inner.ready().filter(|(target, _)| !target.leaves()) {
+        for (target, entry) in inner.ready().filter(|(target, _)| !target.is_draining()) {
             let (target, entry) = (Arc::clone(target), entry.clone());
             let distance = self.distance(&entry.zone);
             let region = self.region_of(&entry.zone);
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -9,9 +9,9 @@
 use cinderspoke_core::rendezvous::Key;
 
 use super::context::Context;
-use super::holds::Due;
+use super::parse::Parsed;
+use super::quarantine::Pending;
 use super::state::State;
-use super::understand::Asked;
 
 /// What a gateway knows of requests under which endpoints ended.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     any: AtomicBool,
     // Ranks this gateway among all.
     key: Key,
-    due: Arc<Due>,
+    pending: Arc<Pending>,
 }
 
 impl Suspects {
@@ -32,14 +32,14 @@
             table: Mutex::default(),
             any: AtomicBool::new(false),
             key: Key::of(gateway),
-            due: Arc::default(),
+            pending: Arc::default(),
         }
     }
 
     /// What the store is to be told of them.
     #[must_use]
-    pub fn due(&self) -> Arc<Due> {
-        Arc::clone(&self.due)
+    pub fn pending(&self) -> Arc<Pending> {
+        Arc::clone(&self.pending)
     }
 
     /// Acts on the table; nothing else does meanwhile.
@@ -98,18 +98,18 @@
 
 impl Context {
     /// For how long a request is held back, if it may not be sent now.
-    pub fn holds_back(&self, asked: &Asked) -> Option<Duration> {
+    pub fn holds_back(&self, parsed: &Parsed) -> Option<Duration> {
         if !self.state.suspects().any() {
             return None;
         }
-        self.state.admit(asked.fingerprint())
+        self.state.admit(parsed.fingerprint())
     }
 
     /// Takes in that an endpoint served a request: it does not end those that begin it. A
     /// failure would not show that, since some endpoints fail whatever they are asked.
-    pub fn was_served(&self, asked: &Asked) {
+    pub fn was_served(&self, parsed: &Parsed) {
         if self.state.suspects().any() {
-            self.state.was_served(asked.fingerprint());
+            self.state.was_served(parsed.fingerprint());
         }
     }
 }
@@ -119,9 +119,9 @@
     pub(super) fn crashed(&self, fingerprint: Fingerprint, crash: &Crash) -> News {
         let news = self.suspects().crashed(fingerprint, crash, self.clock().now());
         match news {
-            News::Held => self.suspects().due.tell(fingerprint, true),
+            News::Held => self.suspects().pending.set(fingerprint, true),
             // Others may know more, and be out of reach.
-            News::New => self.suspects().due.look(),
+            News::New => self.suspects().pending.request_read(),
             News::Released | News::Known => {}
         }
         if news != News::Known {
@@ -134,7 +134,7 @@
     fn was_served(&self, fingerprint: Fingerprint) {
         let news = self.suspects().answered(fingerprint, self.clock().now());
         if news == News::Released {
-            self.suspects().due.tell(fingerprint, false);
+            self.suspects().pending.set(fingerprint, false);
         }
         if news != News::Known {
             tracing::info!(%fingerprint, "a suspected request was served");
@@ -176,7 +176,7 @@
             tracing::info!(%fingerprint, "a request is held back, as other gateways tell");
         }
         for fingerprint in &merged.witnessed {
-            self.suspects().due.tell(*fingerprint, true);
+            self.suspects().pending.set(*fingerprint, true);
         }
         if merged.is_news {
             self.tell_others();
--- a/src/cinderspoke/gateway/target.rs
+++ b/src/cinderspoke/gateway/target.rs
@@ -15,7 +15,7 @@
 use super::pool::Pool;
 
 /// How long an endpoint that refused a request is left alone, as long as others can be asked.
-const REST: Duration = Duration::from_millis(120);
+const REFUSAL_PAUSE: Duration = Duration::from_millis(120);
 
 /// What changes with each request.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     /// Whether it answers as it should.
     pub health: Health,
     /// Until when it is left alone after it refused a request.
-    pub rests_until: Duration,
+    pub paused_until: Duration,
     /// What it was sent lately.
     pub sends: cold::Sends,
 }
@@ -46,11 +46,11 @@
     // What it said of itself: whether it leaves, and until when it wants no requests, in
     // milliseconds of the gateway's clock. Not under `tracking`'s lock, under which what
     // the gateway knows is asked for: that lock comes second.
-    leaves: AtomicBool,
-    wants_none_until: AtomicU64,
+    draining: AtomicBool,
+    backoff_until_ms: AtomicU64,
     // Until when it is taken for cold, and what its entry last said of that, in milliseconds.
-    cold_until: AtomicU64,
-    listed_cold: AtomicU64,
+    cold_until_ms: AtomicU64,
+    listed_cold_ms: AtomicU64,
     // Whether its agent was asked to report here.
     reports_here: AtomicBool,
     tracking: Mutex<Tracking>,
@@ -62,17 +62,17 @@
     #[must_use]
     pub fn new(name: Endpoint, entry: &Entry, notices: &notice::Table) -> Self {
         let (pool, start, run) = (Pool::new(entry.address), entry.start, Run::of(&name, entry));
-        let leaves = AtomicBool::new(notices.is_leaving(run));
-        let wants_none_until = AtomicU64::new(whole_millis(notices.rests_until(run)));
+        let draining = AtomicBool::new(notices.is_leaving(run));
+        let backoff_until_ms = AtomicU64::new(whole_millis(notices.rests_until(run)));
         Self {
             name,
             pool,
             run,
             start,
-            leaves,
-            wants_none_until,
-            cold_until: AtomicU64::default(),
-            listed_cold: AtomicU64::default(),
+            draining,
+            backoff_until_ms,
+            cold_until_ms: AtomicU64::default(),
+            listed_cold_ms: AtomicU64::default(),
             reports_here: AtomicBool::new(true),
             tracking: Mutex::default(),
         }
@@ -81,7 +81,7 @@
     /// Whether an entry of its name is of this run of the endpoint: another one has none
     /// of its connections, and what was known of it does not hold.
     #[must_use]
-    pub fn is_of(&self, entry: &Entry) -> bool {
+    pub fn matches(&self, entry: &Entry) -> bool {
         self.pool.address() == entry.address && self.start == entry.start
     }
 
@@ -91,35 +91,35 @@
     }
 
     /// Whether it has requests of this gateway.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_outstanding(&self) -> bool {
         self.tracking().load.own() > 0
     }
 
     /// Leaves the endpoint alone for a while, since it refused a request.
-    pub fn rest(&self, now: Duration) {
-        self.tracking().rests_until = now + REST;
+    pub fn record_refusal(&self, now: Duration) {
+        self.tracking().paused_until = now + REFUSAL_PAUSE;
     }
 
     /// Whether this run may be the one that started then; without a time it may.
     #[must_use]
-    pub fn is_of_start(&self, start: Option<Start>) -> bool {
+    pub fn matches_start(&self, start: Option<Start>) -> bool {
         start.is_none() || self.start.is_none() || self.start == start
     }
 
     /// Whether it is about to leave, as it said itself.
     #[must_use]
-    pub fn leaves(&self) -> bool {
-        self.leaves.load(Ordering::Relaxed)
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Relaxed)
     }
 
     /// Takes in that it is about to leave.
-    pub fn leave(&self) {
-        self.leaves.store(true, Ordering::Relaxed);
+    pub fn set_draining(&self) {
+        self.draining.store(true, Ordering::Relaxed);
     }
 
     /// Takes in that it wants no requests until a time.
-    pub fn wants_none_until(&self, until: Duration) {
-        self.wants_none_until.fetch_max(whole_millis(until), Ordering::Relaxed);
+    pub fn extend_backoff(&self, until: Duration) {
+        self.backoff_until_ms.fetch_max(whole_millis(until), Ordering::Relaxed);
     }
 
     /// Sets whether its agent was asked to report here.
@@ -135,39 +135,39 @@
 
     /// Sets how much longer its entry says that it is cold; an entry that says the same again
     /// is the same word.
-    pub fn listed_cold(&self, cold: Duration, now: Duration) {
+    pub fn set_listed_cold(&self, cold: Duration, now: Duration) {
         let cold_ms = whole_millis(cold);
-        if self.listed_cold.swap(cold_ms, Ordering::Relaxed) != cold_ms {
-            self.is_cold_until(now + cold);
+        if self.listed_cold_ms.swap(cold_ms, Ordering::Relaxed) != cold_ms {
+            self.extend_cold(now + cold);
         }
     }
 
     /// Counts it as cold until a time, or longer where it was known to be.
-    pub fn is_cold_until(&self, until: Duration) {
-        self.cold_until.fetch_max(whole_millis(until), Ordering::Relaxed);
+    pub fn extend_cold(&self, until: Duration) {
+        self.cold_until_ms.fetch_max(whole_millis(until), Ordering::Relaxed);
     }
 
     /// Whether it is taken for cold.
     #[must_use]
     pub fn is_cold(&self, now: Duration) -> bool {
-        Duration::from_millis(self.cold_until.load(Ordering::Relaxed)) > now
+        Duration::from_millis(self.cold_until_ms.load(Ordering::Relaxed)) > now
     }
 
     /// For how much longer it wants no requests; none if it takes them.
     #[must_use]
-    pub fn rest_left(&self, now: Duration) -> Option<Duration> {
-        let until = Duration::from_millis(self.wants_none_until.load(Ordering::Relaxed));
+    pub fn backoff_left(&self, now: Duration) -> Option<Duration> {
+        let until = Duration::from_millis(self.backoff_until_ms.load(Ordering::Relaxed));
         until.checked_sub(now).filter(|left| !left.is_zero())
     }
 
     /// Whether it takes requests at all, by what it said itself.
     #[must_use]
-    pub fn takes_requests(&self, now: Duration) -> bool {
-        !self.leaves() && self.rest_left(now).is_none()
+    pub fn accepts_requests(&self, now: Duration) -> bool {
+        !self.is_draining() && self.backoff_left(now).is_none()
     }
 
     /// Takes in how a request ended.
-    pub fn sign(&self, sign: Sign, now: Duration) {
+    pub fn observe(&self, sign: Sign, now: Duration) {
         if self.tracking().health.record(sign, now) {
             tracing::info!(endpoint = %self.name, ?sign, "endpoint left out for a while");
             self.pool.clear();
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -81,7 +81,7 @@
         for (name, entry) in reopened {
             if let (Some(target), Some(cold)) = (self.targets.get(name), self.cold(&entry.service))
             {
-                target.is_cold_until(now + cold.lasts);
+                target.extend_cold(now + cold.lasts);
             }
         }
     }
