--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -12,7 +12,7 @@
 use super::call::Size;
 use super::catalog::Engine;
 use super::notice::Departure;
-use super::place;
+use super::reservation;
 use super::rollout::Version;
 use super::tally::Outstanding;
 
@@ -98,7 +98,7 @@
     delay: Duration,
     sent: BTreeMap<u64, Sent>,
     /// What its agent was asked, and not decided on yet.
-    pub open: place::Open,
+    pub pending: reservation::Pending,
     // When its agent last answered a question.
     answered: Option<Duration>,
     // Requests of this gateway that ended since the last report.
@@ -142,7 +142,7 @@
     /// Whether its agent has just answered a question.
     #[must_use]
     pub fn has_answered(&self, now: Duration) -> bool {
-        self.answered.is_some_and(|at| at + place::ANSWER >= now)
+        self.answered.is_some_and(|at| at + reservation::ANSWER >= now)
     }
 
     /// The last report, if it is fresh.
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -12,7 +12,8 @@
 //!   by what the agents of its [`subset`] tell each gateway in its [`turn`], the [`tally`] of what all
 //!   gateways have there among it; [`demand`] is how much is asked, [`patience`] how
 //!   long a caller has waited; [`pick`] chooses an endpoint or refuses, [`health`]
-//!   leaves out those that fail. Under load, endpoints are asked for a [`place`] first.
+//!   leaves out those that fail. Under load, the agents of some endpoints are queried first and
+//!   make a [`reservation`] for the request.
 //!   [`residency`] says in which regions a request may be served, [`evacuation`] which
 //!   availability zones receive nothing, [`cold`] how much an endpoint bears after its start.
 //! - How engines change weights: [`listing`] says whom to ask for what a version
@@ -50,8 +51,9 @@
 pub mod overlap;
 pub mod patience;
 pub mod pick;
-pub mod place;
+
 pub mod region;
+pub mod reservation;
 pub mod residency;
 pub mod rollout;
 pub mod size;
--- a/crates/core/src/gateway/place.rs
+++ b/crates/core/src/gateway/reservation.rs
@@ -6,10 +6,10 @@
 //! is asked counts a place as taken for the gateway, until it says what it has decided:
 //! whoever asks next knows of it.
 //!
-//! - [`Ledger`] is what an agent keeps: a place is handed out, and then used, given back or
+//! - [`Table`] is what an agent keeps: a place is handed out, and then used, given back or
 //!   lapsed.
-//! - [`Search`] is one request's way to a place: sent by reports, asked for, refused.
-//! - [`Open`] is what a gateway has asked of an endpoint and not decided on.
+//! - [`Selection`] is one request's way to a place: sent by reports, asked for, refused.
+//! - [`Pending`] is what a gateway has asked of an endpoint and not decided on.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -58,13 +58,13 @@
 /// The places at an endpoint that its agent keeps.
 // Invariant: at most `MOST_KEPT` places.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Table {
     places: Vec<Place>,
 }
 
-impl Ledger {
+impl Table {
     /// Keeps a place for a request of a gateway, asked for at the gateway's own time.
-    pub fn keep(&mut self, gateway: SocketAddr, asked: Duration, prompt: u32, now: Duration) {
+    pub fn reserve(&mut self, gateway: SocketAddr, asked: Duration, prompt: u32, now: Duration) {
         self.places.retain(|place| place.until > now);
         if self.places.len() < MOST_KEPT {
             self.places.push(Place { gateway, asked, prompt, until: now + KEPT });
@@ -73,7 +73,7 @@
 
     /// Takes in that a gateway has decided on all that it asked for before a time of its own:
     /// what it uses is among its outstanding requests from now on.
-    pub fn decided(&mut self, gateway: SocketAddr, before: Duration) {
+    pub fn release_before(&mut self, gateway: SocketAddr, before: Duration) {
         self.places.retain(|place| place.gateway != gateway || place.asked >= before);
     }
 
@@ -89,21 +89,21 @@
 
 /// What a gateway has asked of an endpoint's agent and not decided on yet: when, by number.
 #[derive(Debug, Default)]
-pub struct Open(BTreeMap<u64, Duration>);
+pub struct Pending(BTreeMap<u64, Duration>);
 
-impl Open {
+impl Pending {
     /// Takes in that a place was asked for.
-    pub fn asked(&mut self, number: u64, now: Duration) {
+    pub fn record_query(&mut self, number: u64, now: Duration) {
         self.0.insert(number, now);
     }
 
     /// Takes in that the gateway has used the place, or does without it.
-    pub fn decided(&mut self, number: u64) {
+    pub fn resolve(&mut self, number: u64) {
         self.0.remove(&number);
     }
 
     /// Everything that was asked for before this time has been decided on, or has lapsed.
-    pub fn decided_before(&mut self, now: Duration) -> Duration {
+    pub fn resolved_before(&mut self, now: Duration) -> Duration {
         self.0.retain(|_, asked| *asked + KEPT > now);
         self.0.values().copied().min().unwrap_or(now)
     }
@@ -113,7 +113,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// The agents of these endpoints are asked.
-    Ask(Vec<usize>),
+    Query(Vec<usize>),
     /// It is sent to an endpoint, or refused.
     Done(Choice),
 }
@@ -121,15 +121,15 @@
 /// One request's search for a place.
 #[derive(Debug, Clone, Default)]
 // Invariant: `rounds` is at most `ROUNDS`, and `asked` names no endpoint twice.
-pub struct Search {
+pub struct Selection {
     rounds: usize,
     asked: Vec<usize>,
 }
 
-impl Search {
+impl Selection {
     /// How many endpoints were asked.
     #[must_use]
-    pub fn asked(&self) -> usize {
+    pub fn queried(&self) -> usize {
         self.asked.len()
     }
 
@@ -151,7 +151,7 @@
         }
         self.rounds += 1;
         self.asked.extend(&next);
-        Step::Ask(next)
+        Step::Query(next)
     }
 
     /// The endpoint that has room, at first by reports and then by answers.
--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -11,7 +11,7 @@
 use cinderspoke_core::gateway::load::{self, Forecast, Load, forecast};
 use cinderspoke_core::gateway::name::Endpoint;
 use cinderspoke_core::gateway::pick::{Agent, Best, Candidate, Choice, Wish};
-use cinderspoke_core::gateway::place::{Search, Step};
+use cinderspoke_core::gateway::reservation::{Selection, Step};
 use cinderspoke_core::gateway::residency::Residency;
 use cinderspoke_core::gateway::rollout::Version;
 use cinderspoke_core::rendezvous::Key;
@@ -93,7 +93,7 @@
     ) -> Result<Chosen, Duration> {
         let view = context.state.view();
         let members = view.members(&parsed.service);
-        let mut search = Search::default();
+        let mut search = Selection::default();
         let mut places: Vec<Place> = Vec::new();
         let mut reach = Reach::Subset;
         loop {
@@ -101,7 +101,7 @@
             let candidates: Vec<_> = prospects.iter().map(|prospect| prospect.candidate).collect();
             let choice = match search.next(&wish, &candidates) {
                 Step::Done(choice) => choice,
-                Step::Ask(numbers) => {
+                Step::Query(numbers) => {
                     let targets = numbers.iter().map(|number| Arc::clone(&members[*number].target));
                     let targets: Vec<_> = targets.collect();
                     let prompt = parsed.call.size.prompt;
@@ -111,7 +111,7 @@
                     continue;
                 }
             };
-            record.asked(search.asked());
+            record.asked(search.queried());
             return match choice {
                 Choice::Send { number, first } => {
                     let target = Arc::clone(&members[number].target);
@@ -127,7 +127,7 @@
                 Choice::Refuse { .. } if reach == Reach::Subset && self.is_more(members) => {
                     // No endpoint that reports here has room; others may.
                     reach = Reach::All;
-                    search = Search::default();
+                    search = Selection::default();
                     continue;
                 }
                 Choice::Refuse { come_back, best } => {
--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -68,7 +68,7 @@
     let sent = state.clock().now();
     let (agent, outstanding, decided_before) = {
         let mut tracking = target.tracking();
-        let decided_before = tracking.load.open.decided_before(sent);
+        let decided_before = tracking.load.pending.resolved_before(sent);
         (tracking.agent, tracking.load.outstanding(), decided_before)
     };
     let Some(agent) = agent else { return };
--- a/src/cinderspoke/gateway/query.rs
+++ b/src/cinderspoke/gateway/query.rs
@@ -79,7 +79,7 @@
             let asked = clock.now();
             let agent = {
                 let mut tracking = target.tracking();
-                tracking.load.open.asked(number, asked);
+                tracking.load.pending.record_query(number, asked);
                 tracking.agent
             };
             // Agents listen beside their engines, to the port to which gateways do.
@@ -103,6 +103,6 @@
 
 /// Gives a place back that was asked for under a number.
 pub fn release(target: &Arc<Target>, number: u64, state: &State) {
-    target.tracking().load.open.decided(number);
+    target.tracking().load.pending.resolve(number);
     state.outstanding_changes().add(target);
 }
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -54,7 +54,7 @@
         {
             let load = &mut target.tracking().load;
             load.sent(number, prompt, chosen.first, now);
-            chosen.place.iter().for_each(|place| load.open.decided(*place));
+            chosen.place.iter().for_each(|place| load.pending.resolve(*place));
         }
         let changes = context.state.outstanding_changes();
         changes.add(&target);
--- a/src/cinderspoke/stager/report.rs
+++ b/src/cinderspoke/stager/report.rs
@@ -7,7 +7,7 @@
 
 use cinderspoke_core::gateway::link::Link;
 use cinderspoke_core::gateway::load::Report;
-use cinderspoke_core::gateway::place::Ledger;
+use cinderspoke_core::gateway::reservation;
 use cinderspoke_core::gateway::subset::Subscribers;
 use cinderspoke_core::gateway::tally::{Outstanding, Tally};
 use cinderspoke_core::gateway::timeline::Ages;
@@ -54,7 +54,7 @@
     // What gateways have outstanding at the engine.
     tally: Mutex<Tally>,
     // Places at the engine that are kept for gateways that asked.
-    ledger: Mutex<Ledger>,
+    reservations: Mutex<reservation::Table>,
     // What chunks tell of the link.
     link: Arc<Mutex<Link>>,
     reads: Reads,
@@ -86,7 +86,7 @@
         let (latest, open) = (watch::Sender::new(None), AtomicBool::new(true));
         let tick = AtomicUsize::new(0);
         let clock = Clock::start();
-        let (heard, tally, ledger) = (Mutex::default(), Mutex::default(), Mutex::default());
+        let (heard, tally, reservations) = (Mutex::default(), Mutex::default(), Mutex::default());
         let process = rand::random();
         let reads = Reads::default();
         Self {
@@ -103,7 +103,7 @@
             heard,
             subscribers: Mutex::default(),
             tally,
-            ledger,
+            reservations,
             link,
             reads,
         }
@@ -194,7 +194,7 @@
 
     /// What other gateways than one have outstanding at the engine, or have a place for.
     fn others(&self, all: Outstanding, gateway: SocketAddr, now: Duration) -> Outstanding {
-        let kept = self.ledger().others(gateway, now);
+        let kept = self.reservations().others(gateway, now);
         self.tally().others(all, gateway, now).plus(kept)
     }
 
@@ -204,7 +204,7 @@
         let now = self.clock.now();
         let all = self.tally().all(now);
         let others = self.others(all, gateway, now);
-        self.ledger().keep(gateway, asked, prompt, now);
+        self.reservations().reserve(gateway, asked, prompt, now);
         let answer = Datagram::Report {
             from: self.own,
             engine: self.address,
@@ -228,8 +228,8 @@
         self.link.lock().unwrap_or_else(PoisonError::into_inner).is_narrow(now)
     }
 
-    fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+    fn reservations(&self) -> MutexGuard<'_, reservation::Table> {
+        self.reservations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn tally(&self) -> MutexGuard<'_, Tally> {
@@ -293,7 +293,7 @@
                 Datagram::Subscribe { from } => self.subscribers().renew(from, self.clock.now()),
                 Datagram::Outstanding { from, outstanding, sent, decided_before } => {
                     self.tally().take(from, outstanding, sent, self.clock.now());
-                    self.ledger().decided(from, decided_before);
+                    self.reservations().release_before(from, decided_before);
                 }
                 Datagram::Ask { from, number, asked, prompt } => {
                     self.answer(from, number, asked, prompt).await;
--- a/tests/testsuite/gateway/overload/world.rs
+++ b/tests/testsuite/gateway/overload/world.rs
@@ -10,7 +10,7 @@
 use cinderspoke_core::gateway::demand::Demand;
 use cinderspoke_core::gateway::load::{Load, Report, forecast, turn};
 use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish, pick};
-use cinderspoke_core::gateway::place::{Ledger, Search, Step};
+use cinderspoke_core::gateway::reservation::{Selection, Step, Table};
 use cinderspoke_core::gateway::rollout::Version;
 use cinderspoke_core::gateway::tally::Tally;
 use cinderspoke_core::gateway::turn::in_turn;
@@ -54,7 +54,7 @@
 struct Seeker {
     caller: usize,
     gateway: usize,
-    search: Search,
+    search: Selection,
     spread: u64,
     // The endpoints whose agents were asked last, and how many have not answered.
     asked: Vec<usize>,
@@ -76,7 +76,7 @@
     numbers: u64,
     engines: Vec<Engine>,
     tallies: Vec<Tally>,
-    ledgers: Vec<Ledger>,
+    reservations: Vec<Table>,
     loads: Vec<Vec<Load>>,
     // Where a gateway has news that it gathers for an agent.
     untold: Vec<Vec<bool>>,
@@ -104,7 +104,7 @@
             numbers: 0,
             engines: (0..engines).map(|number| Engine::new(slots, faults.pace(number))).collect(),
             tallies: (0..engines).map(|_| Tally::default()).collect(),
-            ledgers: (0..engines).map(|_| Ledger::default()).collect(),
+            reservations: (0..engines).map(|_| Table::default()).collect(),
             loads: (0..gateways).map(|_| loads()).collect(),
             untold: vec![vec![false; engines]; gateways],
             demands: vec![Demand::default(); gateways],
@@ -204,7 +204,7 @@
             Event::Tell { gateway, engine } => self.tell(gateway, engine),
             Event::Told { gateway, engine, outstanding, at, before } => {
                 self.tallies[engine].take(address(gateway), outstanding, at, self.now);
-                self.ledgers[engine].decided(address(gateway), before);
+                self.reservations[engine].release_before(address(gateway), before);
             }
             Event::Ask { seeker, engine, at } => self.answer(seeker, engine, at),
             Event::Answer { seeker, engine, report, told } => {
@@ -229,7 +229,7 @@
                 self.seekers.push(Seeker {
                     caller,
                     gateway,
-                    search: Search::default(),
+                    search: Selection::default(),
                     spread,
                     asked: Vec::new(),
                     missing: 0,
@@ -264,10 +264,10 @@
         let wish = self.wish(gateway, caller, spread);
         let candidates = self.candidates(gateway, caller);
         match self.seekers[seeker].search.next(&wish, &candidates) {
-            Step::Ask(engines) => self.ask(seeker, engines),
+            Step::Query(engines) => self.ask(seeker, engines),
             Step::Done(choice) => {
                 for (engine, number) in std::mem::take(&mut self.seekers[seeker].open) {
-                    self.loads[gateway][engine].open.decided(number);
+                    self.loads[gateway][engine].pending.resolve(number);
                     self.gather(gateway, engine);
                 }
                 self.follow(caller, gateway, choice);
@@ -284,7 +284,7 @@
         let round = asking.round;
         for engine in engines {
             self.seekers[seeker].open.push((engine, number));
-            self.loads[gateway][engine].open.asked(number, self.now);
+            self.loads[gateway][engine].pending.record_query(number, self.now);
             let ask = Event::Ask { seeker, engine, at: self.now };
             self.send_datagram(gateway, engine, ask);
         }
@@ -296,7 +296,7 @@
         let Seeker { caller, gateway, .. } = self.seekers[seeker];
         let report = self.report(engine, gateway);
         let prompt = self.callers[caller].prompt as u32;
-        self.ledgers[engine].keep(address(gateway), at, prompt, self.now);
+        self.reservations[engine].reserve(address(gateway), at, prompt, self.now);
         let answer = Event::Answer { seeker, engine, report, told: self.now };
         self.send_datagram(gateway, engine, answer);
     }
@@ -316,8 +316,8 @@
 
     /// What an agent tells a gateway.
     fn report(&self, engine: usize, gateway: usize) -> Report {
-        let (tally, ledger) = (&self.tallies[engine], &self.ledgers[engine]);
-        let kept = ledger.others(address(gateway), self.now);
+        let (tally, reservations) = (&self.tallies[engine], &self.reservations[engine]);
+        let kept = reservations.others(address(gateway), self.now);
         let others = tally.others(tally.all(self.now), address(gateway), self.now).plus(kept);
         let running = self.engines[engine].busy() as u32;
         let version = Some(Version(1));
@@ -422,7 +422,7 @@
         self.untold[gateway][engine] = false;
         let load = &mut self.loads[gateway][engine];
         let (outstanding, at) = (load.outstanding(), self.now);
-        let before = load.open.decided_before(at);
+        let before = load.pending.resolved_before(at);
         let told = Event::Told { gateway, engine, outstanding, at, before };
         self.send_datagram(gateway, engine, told);
     }
--- a/tests/testsuite/gateway/place.rs
+++ b/tests/testsuite/gateway/reservation.rs
@@ -13,7 +13,7 @@
 
 use cinderspoke_core::gateway::load::Forecast;
 use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish};
-use cinderspoke_core::gateway::place::{Ledger, Open, Search, Step};
+use cinderspoke_core::gateway::reservation::{Pending, Selection, Step, Table};
 use cinderspoke_core::gateway::tally::Outstanding;
 use cinderspoke_core::swarm::Distance;
 
@@ -27,61 +27,61 @@
 }
 
 /// How many places are kept for others than a gateway.
-fn others(ledger: &Ledger, number: u16, now: Duration) -> u32 {
-    ledger.others(gateway(number), now).requests
+fn others(reservations: &Table, number: u16, now: Duration) -> u32 {
+    reservations.others(gateway(number), now).requests
 }
 
 #[test]
 fn whoever_asks_next_is_told_of_the_place_before() {
-    let mut ledger = Ledger::default();
-    ledger.keep(gateway(0), ms(5), 900, ms(100));
-    let told = ledger.others(gateway(1), ms(101));
+    let mut reservations = Table::default();
+    reservations.reserve(gateway(0), ms(5), 900, ms(100));
+    let told = reservations.others(gateway(1), ms(101));
     assert_eq!(told, Outstanding { requests: 1, waiting: 1, unread: 900 });
-    assert!(ledger.others(gateway(0), ms(101)).is_empty(), "its own is not others'");
+    assert!(reservations.others(gateway(0), ms(101)).is_empty(), "its own is not others'");
 }
 
 #[test]
 fn a_place_ends_as_soon_as_its_gateway_has_decided() {
-    let mut ledger = Ledger::default();
-    ledger.keep(gateway(0), ms(5), 900, ms(100));
-    ledger.keep(gateway(0), ms(7), 900, ms(102));
-    ledger.keep(gateway(1), ms(1), 900, ms(103));
-    ledger.decided(gateway(0), ms(7));
-    assert_eq!(others(&ledger, 2, ms(104)), 2, "the later question is open, the other's too");
+    let mut reservations = Table::default();
+    reservations.reserve(gateway(0), ms(5), 900, ms(100));
+    reservations.reserve(gateway(0), ms(7), 900, ms(102));
+    reservations.reserve(gateway(1), ms(1), 900, ms(103));
+    reservations.release_before(gateway(0), ms(7));
+    assert_eq!(others(&reservations, 2, ms(104)), 2, "the later question is open, the other's too");
 }
 
 // A gateway may end, be cut off, or its word be lost.
 #[test]
 fn a_place_lapses_without_a_word() {
-    let mut ledger = Ledger::default();
-    ledger.keep(gateway(0), ms(5), 900, ms(100));
-    assert_eq!(others(&ledger, 1, ms(100) + KEPT - ms(1)), 1);
-    assert_eq!(others(&ledger, 1, ms(100) + KEPT), 0);
+    let mut reservations = Table::default();
+    reservations.reserve(gateway(0), ms(5), 900, ms(100));
+    assert_eq!(others(&reservations, 1, ms(100) + KEPT - ms(1)), 1);
+    assert_eq!(others(&reservations, 1, ms(100) + KEPT), 0);
 }
 
 #[test]
 fn a_flood_of_questions_keeps_a_bounded_number_of_places() {
-    let mut ledger = Ledger::default();
-    (0..2000).for_each(|asked| ledger.keep(gateway(0), ms(asked), 900, ms(100)));
-    assert_eq!(others(&ledger, 1, ms(101)), 256);
+    let mut reservations = Table::default();
+    (0..2000).for_each(|asked| reservations.reserve(gateway(0), ms(asked), 900, ms(100)));
+    assert_eq!(others(&reservations, 1, ms(101)), 256);
 }
 
 #[test]
 fn what_is_undecided_holds_back_the_word_on_what_came_later() {
-    let mut open = Open::default();
-    open.asked(1, ms(10));
-    open.asked(2, ms(20));
-    open.decided(2);
-    assert_eq!(open.decided_before(ms(30)), ms(10));
-    open.decided(1);
-    assert_eq!(open.decided_before(ms(30)), ms(30));
+    let mut open = Pending::default();
+    open.record_query(1, ms(10));
+    open.record_query(2, ms(20));
+    open.resolve(2);
+    assert_eq!(open.resolved_before(ms(30)), ms(10));
+    open.resolve(1);
+    assert_eq!(open.resolved_before(ms(30)), ms(30));
 }
 
 #[test]
 fn a_question_whose_request_is_gone_holds_nothing_back_for_long() {
-    let mut open = Open::default();
-    open.asked(1, ms(10));
-    assert_eq!(open.decided_before(ms(10) + KEPT), ms(10) + KEPT);
+    let mut open = Pending::default();
+    open.record_query(1, ms(10));
+    assert_eq!(open.resolved_before(ms(10) + KEPT), ms(10) + KEPT);
 }
 
 /// What gateways and an agent do to the places at an endpoint.
@@ -121,8 +121,8 @@
 /// Two gateways, an agent, and what each should know.
 #[derive(Default)]
 struct Model {
-    ledger: Ledger,
-    open: [Open; 2],
+    reservations: Table,
+    open: [Pending; 2],
     questions: Vec<Question>,
     now: Duration,
 }
@@ -132,8 +132,8 @@
         match act {
             Act::Ask(gateway_number) => {
                 let (number, asked) = (self.questions.len() as u64, self.now);
-                self.open[usize::from(gateway_number)].asked(number, asked);
-                self.ledger.keep(gateway(gateway_number), asked, 1, asked);
+                self.open[usize::from(gateway_number)].record_query(number, asked);
+                self.reservations.reserve(gateway(gateway_number), asked, 1, asked);
                 let (decided, told) = (false, false);
                 let question = Question { gateway: gateway_number, number, asked, decided, told };
                 self.questions.push(question);
@@ -143,12 +143,12 @@
                 let mut own = self.questions.iter_mut().filter(|one| one.gateway == gateway);
                 if let Some(question) = own.find(|one| !one.decided) {
                     question.decided = true;
-                    self.open[usize::from(gateway)].decided(question.number);
+                    self.open[usize::from(gateway)].resolve(question.number);
                 }
             }
             Act::Tell(gateway_number) => {
-                let before = self.open[usize::from(gateway_number)].decided_before(self.now);
-                self.ledger.decided(gateway(gateway_number), before);
+                let before = self.open[usize::from(gateway_number)].resolved_before(self.now);
+                self.reservations.release_before(gateway(gateway_number), before);
                 let own = self.questions.iter_mut().filter(|one| one.gateway == gateway_number);
                 own.filter(|one| one.asked < before).for_each(|one| one.told = true);
             }
@@ -164,7 +164,7 @@
             let kept = || self.questions.iter().filter(kept);
             let least = kept().filter(|one| !one.decided).count() as u32;
             let most = kept().filter(|one| !one.told).count() as u32;
-            (least..=most).contains(&others(&self.ledger, asker, self.now))
+            (least..=most).contains(&others(&self.reservations, asker, self.now))
         })
     }
 }
@@ -216,15 +216,15 @@
 
 #[test]
 fn while_endpoints_have_room_nobody_is_asked() {
-    let step = Search::default().next(&wish(), &all(20, ms(150), Agent::Askable));
+    let step = Selection::default().next(&wish(), &all(20, ms(150), Agent::Askable));
     assert!(matches!(step, Step::Done(Choice::Send { .. })), "{step:?}");
 }
 
 #[test]
 fn under_load_some_are_asked_and_the_one_that_begins_first_gets_the_request() {
-    let mut search = Search::default();
+    let mut search = Selection::default();
     let mut candidates = all(20, ms(300), Agent::Askable);
-    let Step::Ask(asked) = search.next(&wish(), &candidates) else { panic!("some are asked") };
+    let Step::Query(asked) = search.next(&wish(), &candidates) else { panic!("some are asked") };
     assert_eq!(asked.len(), 3);
     for (number, first) in asked.iter().zip([ms(340), ms(200), ms(500)]) {
         candidates[*number] = candidate(*number, first, Agent::Answered);
@@ -235,11 +235,11 @@
 
 #[test]
 fn a_request_is_refused_once_two_rounds_of_answers_say_that_there_is_no_room() {
-    let mut search = Search::default();
+    let mut search = Selection::default();
     let mut candidates = all(20, ms(300), Agent::Askable);
     let mut asked = Vec::new();
     for _ in 0..2 {
-        let Step::Ask(numbers) = search.next(&wish(), &candidates) else { panic!("some are") };
+        let Step::Query(numbers) = search.next(&wish(), &candidates) else { panic!("some are") };
         for number in numbers {
             assert!(!asked.contains(&number), "nobody is asked twice");
             candidates[number] = candidate(number, ms(900), Agent::Answered);
@@ -252,10 +252,10 @@
 // Silence of agents is no refusal: their links may be full while their endpoints are not.
 #[test]
 fn where_no_agent_answers_reports_decide() {
-    let mut search = Search::default();
+    let mut search = Selection::default();
     let candidates = all(20, ms(300), Agent::Askable);
     for _ in 0..2 {
-        assert!(matches!(search.next(&wish(), &candidates), Step::Ask(_)));
+        assert!(matches!(search.next(&wish(), &candidates), Step::Query(_)));
     }
     let step = search.next(&wish(), &candidates);
     assert!(matches!(step, Step::Done(Choice::Send { .. })), "{step:?}");
@@ -264,9 +264,9 @@
 #[test]
 fn what_was_sent_before_or_has_no_agent_goes_by_reports_at_once() {
     let again = Wish { sent: true, ..wish() };
-    let step = Search::default().next(&again, &all(20, ms(300), Agent::Askable));
+    let step = Selection::default().next(&again, &all(20, ms(300), Agent::Askable));
     assert!(matches!(step, Step::Done(Choice::Send { .. })), "{step:?}");
-    let step = Search::default().next(&wish(), &all(20, ms(300), Agent::None));
+    let step = Selection::default().next(&wish(), &all(20, ms(300), Agent::None));
     assert!(matches!(step, Step::Done(Choice::Send { .. })), "{step:?}");
 }
 
@@ -276,7 +276,7 @@
     let mut asked = std::collections::BTreeSet::new();
     for spread in 0..60 {
         let wish = Wish { spread, ..wish() };
-        let Step::Ask(numbers) = Search::default().next(&wish, &candidates) else { panic!() };
+        let Step::Query(numbers) = Selection::default().next(&wish, &candidates) else { panic!() };
         asked.extend(numbers);
     }
     assert!(asked.len() > 40, "{} of 45", asked.len());
@@ -286,10 +286,10 @@
 // had nothing to do.
 #[test]
 fn an_engine_whose_agent_does_not_report_here_is_asked_before_it_gets_a_request() {
-    let mut search = Search::default();
+    let mut search = Selection::default();
     let mut candidates = all(4, ms(900), Agent::Askable);
     candidates.extend((4..20).map(|number| candidate(number, ms(20), Agent::Unheard)));
-    let Step::Ask(asked) = search.next(&wish(), &candidates) else { panic!("some are asked") };
+    let Step::Query(asked) = search.next(&wish(), &candidates) else { panic!("some are asked") };
     assert!(asked.iter().any(|number| *number >= 4), "{asked:?}");
     for number in &asked {
         candidates[*number] = candidate(*number, ms(900), Agent::Answered);
@@ -303,10 +303,10 @@
 // Guards against an engine of which nothing is known that gets a request since nobody answers.
 #[test]
 fn where_no_agent_answers_only_engines_of_which_something_is_known_get_a_request() {
-    let mut search = Search::default();
+    let mut search = Selection::default();
     let unheard = all(9, ms(20), Agent::Unheard);
     let mut step = search.next(&wish(), &unheard);
-    while matches!(step, Step::Ask(_)) {
+    while matches!(step, Step::Query(_)) {
         step = search.next(&wish(), &unheard);
     }
     assert!(is_refused(&step), "{step:?}");
--- a/tests/testsuite/gateway/size_fairness.rs
+++ b/tests/testsuite/gateway/size_fairness.rs
@@ -4,7 +4,7 @@
 use cinderspoke_core::gateway::catalog::Engine;
 use cinderspoke_core::gateway::load::{Estimate, forecast, turn};
 use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish, pick};
-use cinderspoke_core::gateway::place::{Search, Step};
+use cinderspoke_core::gateway::reservation::{Selection, Step};
 use cinderspoke_core::swarm::Distance;
 use proptest::collection::vec;
 use proptest::prelude::{ProptestConfig, Strategy, any, proptest};
@@ -91,10 +91,10 @@
 /// Whether a request is sent by what agents answer.
 fn is_sent_by_answers(wish: &Wish, estimates: &[Estimate], prompt: u32) -> bool {
     let mut candidates = candidates(estimates, prompt, Agent::Askable);
-    let mut search = Search::default();
+    let mut search = Selection::default();
     loop {
         match search.next(wish, &candidates) {
-            Step::Ask(asked) => {
+            Step::Query(asked) => {
                 asked.iter().for_each(|number| candidates[*number].agent = Agent::Answered);
             }
             Step::Done(choice) => return matches!(choice, Choice::Send { .. }),
