--- a/crates/core/src/gateway/patience.rs
+++ b/crates/core/src/gateway/caller_timeout.rs
@@ -21,15 +21,15 @@
 /// The time that most attempts say, by a majority vote in one pass.
 #[derive(Debug, Clone, Copy, Default)]
 // Invariant: `votes` is at most `MOST`, and zero before the first attempt.
-pub struct Usual {
+pub struct Estimator {
     time: Duration,
     votes: u32,
 }
 
-impl Usual {
+impl Estimator {
     /// Takes in how long a caller says that it waits; gives how long it has waited
     /// before this attempt, as far as is known.
-    pub fn waited(&mut self, says: Duration) -> Duration {
+    pub fn observe(&mut self, says: Duration) -> Duration {
         self.vote(says);
         let before = self.time.saturating_sub(says);
         let less = says < self.time.mul_f64(WAITED);
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -9,8 +9,8 @@
 //!   [`difference`] what of it is new. [`outage`] tells whether the
 //!   platform was away for all or for this gateway only.
 //! - Where a request goes: [`load`] estimates what endpoints are busy with
-//!   by what the agents of its [`subset`] tell each gateway in its [`turn`], the [`tally`] of what all
-//!   gateways have there among it; [`demand`] is how much is asked, [`patience`] how
+//!   by what the agents of its [`subset`] tell each gateway in [`rotation`], the [`tally`] of what all
+//!   gateways have there among it; [`demand`] is how much is asked, [`caller_timeout`] how
 //!   long a caller has waited; [`pick`] chooses an endpoint or refuses, [`health`]
 //!   leaves out those that fail. Under load, the agents of some endpoints are queried first and
 //!   make a [`reservation`] for the request.
@@ -29,6 +29,7 @@
 pub mod attempt;
 pub mod budget;
 pub mod call;
+pub mod caller_timeout;
 pub mod catalog;
 pub mod changeover;
 pub mod cold;
@@ -49,17 +50,16 @@
 pub mod notice;
 pub mod outage;
 pub mod overlap;
-pub mod patience;
 pub mod pick;
 
 pub mod region;
 pub mod reservation;
 pub mod residency;
 pub mod rollout;
+pub mod rotation;
 pub mod size;
 pub mod subset;
 pub mod suspect;
 pub mod tally;
 pub mod timeline;
-pub mod turn;
 pub mod watch;
--- a/crates/core/src/gateway/turn.rs
+++ b/crates/core/src/gateway/rotation.rs
@@ -13,7 +13,7 @@
 const MOST_TURNS: usize = 3;
 
 /// Which of so many gateways an agent tells at a tick, by their numbers.
-pub fn in_turn(gateways: usize, tick: usize) -> impl Iterator<Item = usize> {
+pub fn scheduled(gateways: usize, tick: usize) -> impl Iterator<Item = usize> {
     let turns = gateways.div_ceil(TOLD_AT_ONCE).clamp(1, MOST_TURNS);
     (0..gateways).skip(tick % turns).step_by(turns)
 }
@@ -25,6 +25,6 @@
 /// Whether an agent's next question goes to whoever answered last, which most
 /// likely lives, and not to any other gateway.
 #[must_use]
-pub fn asks_last(question: usize) -> bool {
+pub fn queries_last_responder(question: usize) -> bool {
     matches!(question % ROUND, 0 | 2)
 }
--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::turn::in_turn;
+use super::rotation::scheduled;
 use crate::rendezvous::{Key, weight};
 
 /// How many engines of its own region a gateway has reports of: enough for some to have room
@@ -86,7 +86,7 @@
 
     /// Those whose turn it is at a tick.
     #[must_use]
-    pub fn in_turn(gateways: &[SocketAddr], tick: usize) -> Vec<SocketAddr> {
-        in_turn(gateways.len(), tick).map(|number| gateways[number]).collect()
+    pub fn scheduled(gateways: &[SocketAddr], tick: usize) -> Vec<SocketAddr> {
+        scheduled(gateways.len(), tick).map(|number| gateways[number]).collect()
     }
 }
--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::budget::Budget;
+use cinderspoke_core::gateway::caller_timeout::Estimator;
 use cinderspoke_core::gateway::catalog::{Limits, Route};
 use cinderspoke_core::gateway::demand::Demand;
 use cinderspoke_core::gateway::name::Service;
-use cinderspoke_core::gateway::patience::Usual;
 use cinderspoke_ports::gateway::Dialect;
 use tokio_util::sync::CancellationToken;
 
@@ -33,7 +33,7 @@
     budgets: Mutex<HashMap<Service, Budget>>,
     demands: Mutex<HashMap<Service, Demand>>,
     // How long callers of each route usually wait.
-    usual: Mutex<HashMap<String, Usual>>,
+    usual: Mutex<HashMap<String, Estimator>>,
 }
 
 /// Counts a request as in progress until it is dropped.
@@ -189,6 +189,6 @@
     /// How long a caller with this deadline has waited before this attempt.
     pub fn waited_before(&self, route: &Route, deadline: Duration) -> Duration {
         let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
-        usual.entry(route.name.clone()).or_default().waited(deadline)
+        usual.entry(route.name.clone()).or_default().observe(deadline)
     }
 }
--- a/src/cinderspoke/stager/report.rs
+++ b/src/cinderspoke/stager/report.rs
@@ -8,10 +8,10 @@
 use cinderspoke_core::gateway::link::Link;
 use cinderspoke_core::gateway::load::Report;
 use cinderspoke_core::gateway::reservation;
+use cinderspoke_core::gateway::rotation::queries_last_responder;
 use cinderspoke_core::gateway::subset::Subscribers;
 use cinderspoke_core::gateway::tally::{Outstanding, Tally};
 use cinderspoke_core::gateway::timeline::Ages;
-use cinderspoke_core::gateway::turn::asks_last;
 use cinderspoke_ports::gateway::{Engine, EngineReport};
 use cinderspoke_schema::settings;
 use tokio::net::UdpSocket;
@@ -251,7 +251,7 @@
     fn next_told(&self) -> Vec<SocketAddr> {
         let gateways = self.gateways();
         let tick = self.tick.fetch_add(1, Ordering::Relaxed);
-        let mut told = Subscribers::in_turn(&gateways, tick);
+        let mut told = Subscribers::scheduled(&gateways, tick);
         // Who answered last is always told, so that it can answer again.
         let last = self.heard().from.filter(|last| gateways.contains(last));
         told.extend(last.filter(|last| !told.contains(last)));
@@ -264,7 +264,7 @@
         let mut heard = self.heard();
         heard.turn = heard.turn.wrapping_add(1);
         let last = heard.from.filter(|last| gateways.contains(last));
-        if last.is_some() && asks_last(heard.turn) {
+        if last.is_some() && queries_last_responder(heard.turn) {
             return last;
         }
         let number = heard.turn.checked_rem(gateways.len())?;
--- a/tests/testsuite/gateway/mod.rs
+++ b/tests/testsuite/gateway/mod.rs
@@ -4,6 +4,7 @@
 
 mod attempt;
 mod budget;
+mod caller_timeout;
 mod catalog;
 mod changeover;
 mod cold;
@@ -23,19 +24,18 @@
 mod outage;
 mod overlap;
 mod overload;
-mod patience;
 mod pick;
 mod region;
 mod reservation;
 mod residency;
 mod rollout;
+mod rotation;
 mod size;
 mod size_fairness;
 mod subset;
 mod suspect;
 mod tally;
 mod timeline;
-mod turn;
 mod watch;
 
 use std::time::Duration;
--- a/tests/testsuite/gateway/overload/world.rs
+++ b/tests/testsuite/gateway/overload/world.rs
@@ -12,8 +12,8 @@
 use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish, pick};
 use cinderspoke_core::gateway::reservation::{Selection, Step, Table};
 use cinderspoke_core::gateway::rollout::Version;
+use cinderspoke_core::gateway::rotation::scheduled;
 use cinderspoke_core::gateway::tally::Tally;
-use cinderspoke_core::gateway::turn::in_turn;
 use cinderspoke_core::swarm::Distance;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -333,7 +333,7 @@
 
     /// An engine's agent tells the gateways whose turn it is what it has.
     fn look(&mut self, engine: usize, tick: usize) {
-        for gateway in in_turn(self.fleet.gateways, tick) {
+        for gateway in scheduled(self.fleet.gateways, tick) {
             let report = self.report(engine, gateway);
             let report = Event::Report { gateway, engine, report, told: self.now };
             self.send_datagram(gateway, engine, report);
