--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -8,7 +8,7 @@
 
 use super::difference::Hash;
 use super::name::{Model, Region, Service, Team};
-use super::residency::{Homes, Residency};
+use super::residency::{AllowedRegions, Residency};
 
 /// Whether a request may run more than once, and what its answer is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
     /// Whether requests need no key.
     pub public: bool,
     /// Where its requests may be served.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
@@ -174,7 +174,7 @@
     /// Its rank, which goes before a route's.
     pub priority: Option<u8>,
     /// Where its requests may be served.
-    pub homes: Homes,
+    pub allowed_regions: AllowedRegions,
 }
 
 /// What callers may send.
@@ -296,16 +296,21 @@
     #[must_use]
     pub fn residency(&self, route: &Route, key: Option<&str>) -> Residency {
         let number = key.filter(|_| !route.public).and_then(|key| self.by_key.get(key));
-        let team = number.map(|number| self.declared.tenancies[*number].homes.clone());
-        [route.homes.clone()].into_iter().chain(team).collect()
+        let team = number.map(|number| self.declared.tenancies[*number].allowed_regions.clone());
+        [route.allowed_regions.clone()].into_iter().chain(team).collect()
     }
 
     /// The regions that routes and teams name and that are not among these.
     #[must_use]
     pub fn unknown_regions(&self, is_known: impl Fn(&Region) -> bool) -> BTreeSet<Region> {
-        let routes = self.declared.routes.iter().map(|route| &route.homes);
-        let homes = routes.chain(self.declared.tenancies.iter().map(|tenancy| &tenancy.homes));
-        homes.flat_map(Homes::regions).filter(|region| !is_known(region)).cloned().collect()
+        let routes = self.declared.routes.iter().map(|route| &route.allowed_regions);
+        let regions =
+            routes.chain(self.declared.tenancies.iter().map(|tenancy| &tenancy.allowed_regions));
+        regions
+            .flat_map(AllowedRegions::regions)
+            .filter(|region| !is_known(region))
+            .cloned()
+            .collect()
     }
 
     /// A service by its name.
--- a/crates/core/src/gateway/residency.rs
+++ b/crates/core/src/gateway/residency.rs
@@ -12,13 +12,13 @@
 /// The regions in which a route or a team allows requests to be served.
 // Invariant: an empty set stands for every region.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Homes(BTreeSet<Region>);
+pub struct AllowedRegions(BTreeSet<Region>);
 
-impl Homes {
+impl AllowedRegions {
     /// Whether requests may be served in a region; a zone of no known region has the empty
-    /// name, which no homes contain.
+    /// name, which no allowed regions contain.
     #[must_use]
-    pub fn allow(&self, region: &Region) -> bool {
+    pub fn allows(&self, region: &Region) -> bool {
         self.0.is_empty() || self.0.contains(region)
     }
 
@@ -28,7 +28,7 @@
     }
 }
 
-impl FromIterator<Region> for Homes {
+impl FromIterator<Region> for AllowedRegions {
     fn from_iter<T: IntoIterator<Item = Region>>(regions: T) -> Self {
         Self(regions.into_iter().collect())
     }
@@ -36,26 +36,27 @@
 
 /// All limits that bind one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Residency(Vec<Homes>);
+pub struct Residency(Vec<AllowedRegions>);
 
 impl Residency {
     /// Whether the request may be served in a region.
     #[must_use]
     pub fn allows(&self, region: &Region) -> bool {
-        self.0.iter().all(|homes| homes.allow(region))
+        self.0.iter().all(|regions| regions.allows(region))
     }
 
     /// Adds the limits of a newer configuration: what is not sent yet is bound by both.
     #[must_use]
     pub fn and(mut self, other: Self) -> Self {
-        let more = other.0.into_iter().filter(|homes| !self.0.contains(homes)).collect::<Vec<_>>();
+        let more =
+            other.0.into_iter().filter(|regions| !self.0.contains(regions)).collect::<Vec<_>>();
         self.0.extend(more);
         self
     }
 }
 
-impl FromIterator<Homes> for Residency {
-    fn from_iter<T: IntoIterator<Item = Homes>>(limits: T) -> Self {
-        Self(limits.into_iter().filter(|homes| *homes != Homes::default()).collect())
+impl FromIterator<AllowedRegions> for Residency {
+    fn from_iter<T: IntoIterator<Item = AllowedRegions>>(limits: T) -> Self {
+        Self(limits.into_iter().filter(|regions| *regions != AllowedRegions::default()).collect())
     }
 }
--- a/tests/testsuite/gateway/catalog.rs
+++ b/tests/testsuite/gateway/catalog.rs
@@ -3,7 +3,7 @@
 use cinderspoke_core::gateway::catalog::{
     Access, Backend, Catalog, Declared, Kind, Limits, Route, Share, Tenancy,
 };
-use cinderspoke_core::gateway::residency::Homes;
+use cinderspoke_core::gateway::residency::AllowedRegions;
 use yare::parameterized;
 
 use super::ms;
@@ -24,7 +24,7 @@
         ],
         attempts: 2,
         public: false,
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -43,7 +43,7 @@
             team: "t".into(),
             keys: vec!["k".into()],
             priority: Some(0),
-            homes: Homes::default(),
+            allowed_regions: AllowedRegions::default(),
         }],
         limits: Limits::default(),
     }
--- a/tests/testsuite/gateway/difference.rs
+++ b/tests/testsuite/gateway/difference.rs
@@ -2,7 +2,7 @@
 
 use cinderspoke_core::gateway::catalog::{Catalog, Declared, Kind, Limits, Route, Share, Tenancy};
 use cinderspoke_core::gateway::difference::{Difference, Misfit};
-use cinderspoke_core::gateway::residency::Homes;
+use cinderspoke_core::gateway::residency::AllowedRegions;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use yare::parameterized;
@@ -22,7 +22,7 @@
         shares: vec![Share { service: "svc".into(), weight: 1 }],
         attempts: 2,
         public: false,
-        homes: Homes::default(),
+        allowed_regions: AllowedRegions::default(),
     }
 }
 
@@ -34,7 +34,7 @@
             team: "t".into(),
             keys: vec!["k".into()],
             priority: None,
-            homes: Homes::default(),
+            allowed_regions: AllowedRegions::default(),
         }],
         ..Declared::default()
     }
--- a/tests/testsuite/gateway/residency.rs
+++ b/tests/testsuite/gateway/residency.rs
@@ -1,15 +1,15 @@
 //! In which regions a request may be served.
 
 use cinderspoke_core::gateway::name::Region;
-use cinderspoke_core::gateway::residency::{Homes, Residency};
+use cinderspoke_core::gateway::residency::{AllowedRegions, Residency};
 use yare::parameterized;
 
-fn homes(regions: &[&str]) -> Homes {
+fn allowed_regions(regions: &[&str]) -> AllowedRegions {
     regions.iter().map(|region| Region::from(*region)).collect()
 }
 
 fn residency(route: &[&str], team: &[&str]) -> Residency {
-    [homes(route), homes(team)].into_iter().collect()
+    [allowed_regions(route), allowed_regions(team)].into_iter().collect()
 }
 
 // Guards against a request that is served where its route or its team does not allow it.
@@ -29,7 +29,7 @@
     }
 }
 
-// Guards against a request that was read before a configuration narrows its homes.
+// Guards against a request that was read before a configuration narrows its allowed regions.
 #[test]
 fn a_newer_configuration_narrows_what_is_not_sent_yet() {
     let narrowed = residency(&["n", "s"], &[]).and(residency(&["s"], &[]));
