--- a/crates/core/src/gateway/difference.rs
+++ b/crates/core/src/gateway/difference.rs
@@ -53,16 +53,16 @@
 
 /// Why a difference cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub enum Misfit {
+pub enum ApplyError {
     /// it is told by another configuration
-    Base,
+    BaseMismatch,
     /// it keeps what the configuration does not have
-    Missing,
+    MissingItems,
     /// what comes of it is another configuration
-    Result,
+    ResultMismatch,
 }
 
-impl std::error::Error for Misfit {}
+impl std::error::Error for ApplyError {}
 
 impl Difference {
     /// What leads from one configuration to another.
@@ -92,9 +92,9 @@
     /// # Errors
     ///
     /// When it does not lead from that one, or is damaged.
-    pub fn apply(&self, before: &Catalog) -> Result<Catalog, Misfit> {
+    pub fn apply(&self, before: &Catalog) -> Result<Catalog, ApplyError> {
         if before.hash() != self.base {
-            return Err(Misfit::Base);
+            return Err(ApplyError::BaseMismatch);
         }
         let before = before.declared();
         let after = Catalog::from(Declared {
@@ -104,7 +104,7 @@
             tenancies: self.tenancies.apply(&before.tenancies)?,
             limits: self.limits,
         });
-        if after.hash() == self.hash { Ok(after) } else { Err(Misfit::Result) }
+        if after.hash() == self.hash { Ok(after) } else { Err(ApplyError::ResultMismatch) }
     }
 }
 
@@ -132,14 +132,14 @@
         Self(parts)
     }
 
-    fn apply(&self, before: &[T]) -> Result<Vec<T>, Misfit> {
+    fn apply(&self, before: &[T]) -> Result<Vec<T>, ApplyError> {
         let mut after = Vec::new();
         for part in &self.0 {
             let items = match part {
                 Part::Kept(places) => before.get(places.start as usize..places.end as usize),
                 Part::New(items) => Some(items.as_slice()),
             };
-            after.extend_from_slice(items.ok_or(Misfit::Missing)?);
+            after.extend_from_slice(items.ok_or(ApplyError::MissingItems)?);
         }
         Ok(after)
     }
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -8,7 +8,7 @@
 use anyhow::{Context, Result};
 use axum::extract::{Query, State};
 use bytes::Bytes;
-use cinderspoke_core::gateway::difference::{Hash, Misfit};
+use cinderspoke_core::gateway::difference::{ApplyError, Hash};
 use cinderspoke_core::gateway::fact::Revision;
 use cinderspoke_core::gateway::region::{Role, Step};
 use serde::Deserialize;
@@ -190,7 +190,7 @@
     }
 
     /// Takes in what a gateway told.
-    fn take_in(&self, facts: Facts) -> Result<(), Misfit> {
+    fn take_in(&self, facts: Facts) -> Result<(), ApplyError> {
         let known = self.state.known();
         if let Some(directory) = facts.directory.filter(|list| list.revision > known.directory) {
             self.state.listed(directory, "gateway");
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::catalog::Catalog;
-use cinderspoke_core::gateway::difference::{Difference, Hash, Misfit};
+use cinderspoke_core::gateway::difference::{ApplyError, Difference, Hash};
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::name::Region;
 use cinderspoke_core::gateway::region::{Role, Standing, Step, Table, Tag};
@@ -182,12 +182,13 @@
     /// # Errors
     ///
     /// When it is told by one that is not in force here any more.
-    pub fn told_configuration(&self, fact: Fact<Configuration>) -> Result<(), Misfit> {
+    pub fn told_configuration(&self, fact: Fact<Configuration>) -> Result<(), ApplyError> {
         let Fact { revision, value } = fact;
         let catalog = match value {
             Configuration::Whole(declared) => Catalog::from(declared),
             Configuration::Changed(difference) => {
-                let before = self.lock().configuration.value.clone().ok_or(Misfit::Base)?;
+                let before =
+                    self.lock().configuration.value.clone().ok_or(ApplyError::BaseMismatch)?;
                 difference.apply(&before)?
             }
         };
--- a/tests/testsuite/gateway/difference.rs
+++ b/tests/testsuite/gateway/difference.rs
@@ -1,7 +1,7 @@
 //! What differs between configurations.
 
 use cinderspoke_core::gateway::catalog::{Catalog, Declared, Kind, Limits, Route, Share, Tenancy};
-use cinderspoke_core::gateway::difference::{Difference, Misfit};
+use cinderspoke_core::gateway::difference::{ApplyError, Difference};
 use cinderspoke_core::gateway::residency::AllowedRegions;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -90,7 +90,7 @@
     let before = Catalog::from(declared(1, 0..5));
     let difference = Difference::between(&before, &declared(3, 1..9).into());
     let other = Catalog::from(declared(2, 0..5));
-    assert_eq!(difference.apply(&other).unwrap_err(), Misfit::Base);
+    assert_eq!(difference.apply(&other).unwrap_err(), ApplyError::BaseMismatch);
 }
 
 #[test]
