--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -14,24 +14,24 @@
 use super::name::{Endpoint, Model, Service, Zone};
 use super::rollout::Version;
 
-/// How long after the platform's return an entry that lapsed may still be missing.
+/// How long after the platform's return an entry that lapsed may still be retained.
 ///
 /// Endpoints renew their entries about every second; a lapsed one is back
 /// within two seconds, and the rest is for the way here.
-pub const SETTLE: Duration = Duration::from_millis(2200);
+pub const RETENTION: Duration = Duration::from_millis(2200);
 
 /// The same from when the platform was last known to be away: its return is noticed up to
 /// 1.2 s late, and an endpoint that left may get nothing later than 3 s after it.
-pub const SETTLE_AT_MOST: Duration = Duration::from_millis(2850);
+pub const MAX_RETENTION: Duration = Duration::from_millis(2850);
 
 /// How long after the platform's return the first news still tell of what happened
 /// while it was away.
 const FIRST_NEWS: Duration = Duration::from_millis(300);
 
-/// How long an entry may be missing that goes later than that: endpoints renew theirs
+/// How long an entry may be retained that goes later than that: endpoints renew theirs
 /// about every 1.2 s, so one that lapsed and lives is back by then. One that left may
 /// get nothing 2 s after its entry went.
-pub const RENEWAL: Duration = Duration::from_millis(1500);
+pub const RENEWAL_RETENTION: Duration = Duration::from_millis(1500);
 
 /// Whether an endpoint takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -93,7 +93,7 @@
     /// Those of them that lapsed around an outage, and how much longer each is kept if it
     /// is not back. It is told along, since a time that began anew with each gateway would
     /// let an endpoint that left live on from one to the next.
-    pub missing: BTreeMap<Endpoint, Duration>,
+    pub retained: BTreeMap<Endpoint, Duration>,
     /// Those whose entry there is but names no endpoint to use: none of them is kept.
     pub unusable: BTreeSet<Endpoint>,
 }
@@ -122,21 +122,21 @@
     /// Until when an entry is kept that goes now.
     fn kept_until(self, now: Duration) -> Duration {
         let is_first_news = now <= self.returned + FIRST_NEWS;
-        if is_first_news { self.until } else { self.until.min(now + RENEWAL) }
+        if is_first_news { self.until } else { self.until.min(now + RENEWAL_RETENTION) }
     }
 }
 
 /// Keeps the list of endpoints across outages of the platform.
-// Invariant: `directory.missing` is empty, it is made for whoever is told; all that are
-// `missing` are in `directory.entries`.
+// Invariant: `directory.retained` is empty, it is made for whoever is told; all that are
+// `retained` are in `directory.entries`.
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct Tracker {
     directory: Directory,
     revision: Revision,
     // After an outage, while entries that go are taken for lapsed ones, and kept.
     settling: Option<Settling>,
     // Those that are kept, and until when.
-    missing: BTreeMap<Endpoint, Duration>,
+    retained: BTreeMap<Endpoint, Duration>,
     // Those that were written anew since the platform's return: if they go, they left.
     back: BTreeSet<Endpoint>,
     // Those whose address another endpoint has now, as they were. Their entries last a
@@ -146,7 +146,7 @@
     services: Option<BTreeSet<Service>>,
 }
 
-impl Keeper {
+impl Tracker {
     /// The list now.
     #[must_use]
     pub fn directory(&self) -> &Directory {
@@ -155,11 +155,11 @@
 
     /// The list as another gateway is told of it.
     #[must_use]
-    pub fn tell(&self, now: Duration) -> Directory {
-        let missing = self.missing.iter();
-        let missing =
-            missing.map(|(name, until)| (name.clone(), until.saturating_sub(now))).collect();
-        Directory { missing, ..self.directory.clone() }
+    pub fn snapshot(&self, now: Duration) -> Directory {
+        let retained = self.retained.iter();
+        let retained =
+            retained.map(|(name, until)| (name.clone(), until.saturating_sub(now))).collect();
+        Directory { retained, ..self.directory.clone() }
     }
 
     /// The revision of the list.
@@ -170,18 +170,18 @@
 
     /// When an entry that is kept is to be given up next; none if none is.
     #[must_use]
-    pub fn due(&self) -> Option<Duration> {
-        self.missing.values().min().copied()
+    pub fn next_expiry(&self) -> Option<Duration> {
+        self.retained.values().min().copied()
     }
 
     /// Takes in which services there are.
-    pub fn declared(&mut self, services: BTreeSet<Service>) {
+    pub fn set_services(&mut self, services: BTreeSet<Service>) {
         self.services = Some(services);
     }
 
     /// Takes in when the platform answered again, and when it was last known to be away.
-    pub fn returned(&mut self, at: Duration, away: Duration) {
-        let until = (at + SETTLE).min(away + SETTLE_AT_MOST);
+    pub fn record_recovery(&mut self, at: Duration, away: Duration) {
+        let until = (at + RETENTION).min(away + MAX_RETENTION);
         let settling = Some(Settling { returned: at, until });
         if self.settling != settling {
             self.back.clear();
@@ -191,10 +191,10 @@
 
     /// Takes in that the platform was away for this gateway only, so that no entry
     /// has lapsed by it; true when one is given up by that.
-    pub fn was_cut_off(&mut self) -> bool {
+    pub fn record_local_outage(&mut self) -> bool {
         self.settling = None;
-        let missing = std::mem::take(&mut self.missing);
-        self.give_up(missing.into_keys())
+        let retained = std::mem::take(&mut self.retained);
+        self.give_up(retained.into_keys())
     }
 
     /// Takes in the whole list; true when anything changed.
@@ -217,18 +217,18 @@
             false => Change::Removed(name),
         });
         let mut changed = self.apply(revision, gone, now);
-        let kept = self.missing.clone();
+        let kept = self.retained.clone();
         self.directory.unusable = listed.unusable;
         for (name, entry) in listed.entries {
             changed |= self.put(name, entry, |other| known.contains(other));
         }
-        for (name, left) in listed.missing {
+        for (name, left) in listed.retained {
             // That another gateway keeps it as well does not tell that it is back; whoever
             // gives it up first does so without a newer list.
             self.back.remove(&name);
-            let told = now + left.min(SETTLE);
+            let told = now + left.min(RETENTION);
             let until = kept.get(&name).map_or(told, |own| told.min(*own));
-            self.missing.insert(name, until);
+            self.retained.insert(name, until);
         }
         changed
     }
@@ -242,8 +242,8 @@
         let entries = &self.directory.entries;
         let ready = |name: &Endpoint| entries.get(name).is_some_and(Entry::is_ready);
         let (kept, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            listed.missing.into_iter().partition(|(name, _)| ready(name));
-        listed.missing = kept;
+            listed.retained.into_iter().partition(|(name, _)| ready(name));
+        listed.retained = kept;
         listed.entries.retain(|name, _| !left.contains_key(name));
         listed
     }
@@ -289,7 +289,7 @@
             return false;
         }
         self.directory.unusable.remove(&name);
-        if self.missing.remove(&name).is_some() {
+        if self.retained.remove(&name).is_some() {
             self.back.insert(name.clone());
         }
         let displaced = self.displace(&name, &entry, older);
@@ -327,7 +327,7 @@
             .map(|(other, known)| (other.clone(), known.clone()))
             .collect();
         entries.retain(|other, _| !gone.contains_key(other));
-        self.missing.retain(|other, _| !gone.contains_key(other));
+        self.retained.retain(|other, _| !gone.contains_key(other));
         self.displaced.remove(name);
         let any = !gone.is_empty();
         self.displaced.extend(gone);
@@ -335,42 +335,42 @@
     }
 
     /// Removes an entry; while entries settle after an outage, one that was ready
-    /// and may have lapsed is only noted as missing.
+    /// and may have lapsed is only noted as retained.
     fn remove(&mut self, name: Endpoint, settling: Option<Settling>, now: Duration) -> bool {
         let settling = settling.filter(|_| !self.back.contains(&name));
         let ready = self.directory.entries.get(&name).is_some_and(Entry::is_ready);
         if let Some(settling) = settling.filter(|_| ready) {
             let until = settling.kept_until(now);
-            self.missing
+            self.retained
                 .entry(name)
                 .and_modify(|known| *known = until.min(*known))
                 .or_insert(until);
             return false;
         }
         self.displaced.remove(&name);
-        self.missing.remove(&name);
+        self.retained.remove(&name);
         self.directory.entries.remove(&name).is_some()
     }
 
     /// Gives up entries that are not back in time; true when any was.
-    pub fn settle(&mut self, now: Duration) -> bool {
+    pub fn expire(&mut self, now: Duration) -> bool {
         if self.settling.is_some_and(|settling| settling.until <= now) {
             self.settling = None;
             self.back.clear();
         }
         let late: Vec<_> = self
-            .missing
+            .retained
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(name, _)| name.clone())
             .collect();
-        self.missing.retain(|_, until| *until > now);
+        self.retained.retain(|_, until| *until > now);
         self.give_up(late)
     }
 
     /// Removes entries; true when any was there.
-    fn give_up(&mut self, missing: impl IntoIterator<Item = Endpoint>) -> bool {
+    fn give_up(&mut self, retained: impl IntoIterator<Item = Endpoint>) -> bool {
         let entries = &mut self.directory.entries;
-        missing.into_iter().fold(false, |any, name| any | entries.remove(&name).is_some())
+        retained.into_iter().fold(false, |any, name| any | entries.remove(&name).is_some())
     }
 }
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::catalog::Catalog;
-use cinderspoke_core::gateway::directory::{Directory, Entry, Keeper};
+use cinderspoke_core::gateway::directory::{Directory, Entry, Tracker};
 use cinderspoke_core::gateway::evacuation;
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::lag::Lag;
@@ -26,7 +26,7 @@
 const REPLACED: usize = 8;
 
 /// Facts as they came in, with what is needed to tell which are newer.
-// Invariants: `targets` holds the endpoints of the keeper's list at the
+// Invariants: `targets` holds the endpoints of the tracker's list at the
 // addresses that it names, `by_address` the same targets, and `directory_hash`
 // is that of the list.
 #[derive(Default)]
@@ -50,7 +50,7 @@
     /// The versions that the store itself told of last; none before it first did.
     pub stored: Option<Rollout>,
     /// The list of endpoints.
-    pub keeper: Keeper,
+    pub tracker: Tracker,
     /// The availability zones that are emptied.
     pub evacuation: evacuation::Table,
     /// When the platform last did not answer, and whether it answered others.
@@ -94,9 +94,9 @@
 
     /// Keeps a target for each endpoint of the list.
     pub fn follow_directory(&mut self, now: Duration) {
-        self.directory_hash = hash(self.keeper.directory());
-        let Self { keeper, targets, by_address, notices, .. } = self;
-        let entries = &keeper.directory().entries;
+        self.directory_hash = hash(self.tracker.directory());
+        let Self { tracker, targets, by_address, notices, .. } = self;
+        let entries = &tracker.directory().entries;
         targets.retain(|name, target| {
             let kept = entries.get(name).is_some_and(|entry| target.matches(entry));
             if !kept {
@@ -120,7 +120,7 @@
 
     /// The endpoints that the list has as ready.
     pub fn ready(&self) -> impl Iterator<Item = (&Arc<Target>, &Entry)> {
-        let entries = self.keeper.directory().entries.iter();
+        let entries = self.tracker.directory().entries.iter();
         let ready = entries.filter(|(_, entry)| entry.is_ready());
         ready.filter_map(|(name, entry)| Some((self.targets.get(name)?, entry)))
     }
@@ -133,7 +133,7 @@
             configuration_revision: self.configuration.revision,
             ages: self.timeline.ages(now),
             rollout_revision: self.rollout_revision,
-            directory: self.keeper.revision(),
+            directory: self.tracker.revision(),
             directory_hash: self.directory_hash,
             emptied: self.evacuation.known().cloned(),
             answers: self.outage.answers(now),
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -8,7 +8,7 @@
 
 use arc_swap::ArcSwap;
 use cinderspoke_core::gateway::catalog::{Catalog, Declared};
-use cinderspoke_core::gateway::directory::{Change, Directory, Keeper};
+use cinderspoke_core::gateway::directory::{Change, Directory, Tracker};
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::gossip::patience;
 use cinderspoke_core::gateway::load::Report;
@@ -208,7 +208,7 @@
             return false;
         }
         let services = catalog.declared().backends.iter().map(|backend| backend.service.clone());
-        inner.keeper.declared(services.collect());
+        inner.tracker.set_services(services.collect());
         let now = self.clock.now();
         inner.lag.hear(version, now);
         let behind_ms = inner.lag.behind(before, now).as_millis() as u64;
@@ -227,13 +227,13 @@
     /// Takes in the whole list of endpoints.
     pub fn listed(&self, fact: Fact<Directory>, from: &str) -> bool {
         let now = self.clock.now();
-        self.keep(from, |keeper| keeper.replace(fact.revision, fact.value, now))
+        self.keep(from, |tracker| tracker.replace(fact.revision, fact.value, now))
     }
 
     /// Takes in changes of the list of endpoints.
     pub fn changed(&self, fact: Fact<Vec<Change>>, from: &str) -> bool {
         let now = self.clock.now();
-        self.keep(from, |keeper| keeper.apply(fact.revision, fact.value, now))
+        self.keep(from, |tracker| tracker.apply(fact.revision, fact.value, now))
     }
 
     /// Takes in that the platform should have answered a call at a time, and has not.
@@ -261,7 +261,7 @@
         // Each kind of fact is read again at its own time; entries return from the first on.
         if let Some(at) = inner.outage.returned().filter(|_| !inner.outage.is_own()) {
             let away = inner.outage.away().unwrap_or(at);
-            inner.keeper.returned(at, away);
+            inner.tracker.record_recovery(at, away);
         }
     }
 
@@ -275,13 +275,13 @@
         drop(inner);
         let last_ms = answers.first().map(|ago| Duration::from(*ago).as_millis() as u64);
         tracing::info!(last_ms, "only this gateway was cut off");
-        self.keep("gateway", Keeper::was_cut_off);
+        self.keep("gateway", Tracker::record_local_outage);
     }
 
     /// When an entry that is kept is to be given up next; none if none is.
     #[must_use]
     pub fn next_settled(&self) -> Option<Duration> {
-        self.lock().keeper.due()
+        self.lock().tracker.next_expiry()
     }
 
     /// A way to wait until other entries are kept than before.
@@ -293,21 +293,21 @@
     /// Gives up entries that lapsed while the platform was away and are not back.
     pub fn settle(&self) {
         let now = self.clock.now();
-        self.keep("outage", |keeper| keeper.settle(now));
+        self.keep("outage", |tracker| tracker.expire(now));
     }
 
     /// Changes the list of endpoints; makes it known if it is another then.
-    fn keep(&self, from: &str, change: impl FnOnce(&mut Keeper) -> bool) -> bool {
+    fn keep(&self, from: &str, change: impl FnOnce(&mut Tracker) -> bool) -> bool {
         let mut inner = self.lock();
-        let due = inner.keeper.due();
-        let changed = change(&mut inner.keeper);
-        if inner.keeper.due() != due {
+        let due = inner.tracker.next_expiry();
+        let changed = change(&mut inner.tracker);
+        if inner.tracker.next_expiry() != due {
             self.kept.raise();
         }
         if changed {
             inner.follow_directory(self.clock.now());
             self.show(&mut inner);
-            let (endpoints, revision) = (inner.targets.len(), inner.keeper.revision().0);
+            let (endpoints, revision) = (inner.targets.len(), inner.tracker.revision().0);
             drop(inner);
             tracing::info!(endpoints, revision, from, "endpoints changed");
             self.changes.raise();
@@ -394,13 +394,13 @@
     #[must_use]
     pub fn directory(&self) -> Fact<Directory> {
         let inner = self.lock();
-        Fact::new(inner.keeper.revision(), inner.keeper.tell(self.clock.now()))
+        Fact::new(inner.tracker.revision(), inner.tracker.snapshot(self.clock.now()))
     }
 
     /// The revision of the list of endpoints; none before there is one.
     #[must_use]
     pub fn directory_revision(&self) -> Option<Revision> {
-        let revision = self.lock().keeper.revision();
+        let revision = self.lock().tracker.revision();
         (revision > Revision::default()).then_some(revision)
     }
 
@@ -409,8 +409,8 @@
     #[must_use]
     pub fn directory_after(&self, revision: Revision, hash: u64) -> Option<Fact<Directory>> {
         let inner = self.lock();
-        let newer = inner.keeper.revision() > revision && inner.directory_hash != hash;
-        newer.then(|| Fact::new(inner.keeper.revision(), inner.keeper.tell(self.clock.now())))
+        let newer = inner.tracker.revision() > revision && inner.directory_hash != hash;
+        newer.then(|| Fact::new(inner.tracker.revision(), inner.tracker.snapshot(self.clock.now())))
     }
 
     /// Has runs of endpoints get nothing more, since they leave.
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -73,7 +73,7 @@
 
     /// Counts endpoints as cold whose zones were emptied before and are no longer.
     fn reopen(&self, before: &BTreeSet<Zone>, now: Duration) {
-        let entries = &self.keeper.directory().entries;
+        let entries = &self.tracker.directory().entries;
         let reopened = entries
             .iter()
             .filter(|(_, entry)| before.contains(&entry.zone))
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -12,7 +12,7 @@
 use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::catalog::Declared;
-use cinderspoke_core::gateway::directory::{Change, Directory, Entry, SETTLE, State};
+use cinderspoke_core::gateway::directory::{Change, Directory, Entry, RETENTION, State};
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::name::Endpoint;
 use cinderspoke_core::gateway::rollout::Rollout;
@@ -170,7 +170,7 @@
     assert_eq!(listed(&state), ["back", "gone"], "the last list is kept");
     learned(&state, 3).await;
     assert_eq!(listed(&state), ["back", "gone"]);
-    sleep(SETTLE).await;
+    sleep(RETENTION).await;
     assert_eq!(listed(&state), ["back"], "whoever is not back is gone");
 }
 
