--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -39,7 +39,7 @@
     /// It does.
     Ready,
     /// It is about to leave.
-    Leaving,
+    Draining,
 }
 
 /// When an endpoint started, in milliseconds of Unix time by its instance's clock, which
--- a/tests/testsuite/gateway/directory.rs
+++ b/tests/testsuite/gateway/directory.rs
@@ -40,7 +40,7 @@
     let all = vec![
         put("a", "10.0.0.1:1", State::Ready),
         put("b", "10.0.0.2:1", State::Ready),
-        put("c", "10.0.0.3:1", State::Leaving),
+        put("c", "10.0.0.3:1", State::Draining),
     ];
     tracker.apply(Revision(1), all, ms(0));
     tracker.record_recovery(ms(1000), ms(1000));
@@ -63,13 +63,13 @@
 #[test]
 fn an_older_list_changes_nothing() {
     let mut tracker = Tracker::default();
-    tracker.apply(Revision(5), vec![put("a", "10.0.0.1:1", State::Leaving)], ms(0));
+    tracker.apply(Revision(5), vec![put("a", "10.0.0.1:1", State::Draining)], ms(0));
     let old = Directory {
         entries: BTreeMap::from([("a".into(), entry("10.0.0.1:1", State::Ready))]),
         ..Directory::default()
     };
     assert!(!tracker.replace(Revision(4), old, ms(10)));
-    assert_eq!(tracker.directory().entries.values().next().unwrap().state, State::Leaving);
+    assert_eq!(tracker.directory().entries.values().next().unwrap().state, State::Draining);
 }
 
 #[test]
@@ -124,7 +124,7 @@
     for tracker in [&mut one, &mut other] {
         tracker.apply(Revision(1), vec![put("a", "10.0.0.1:1", State::Ready)], ms(0));
     }
-    other.apply(Revision(2), vec![put("a", "10.0.0.1:1", State::Leaving)], ms(900));
+    other.apply(Revision(2), vec![put("a", "10.0.0.1:1", State::Draining)], ms(900));
     one.record_recovery(ms(1000), ms(1000));
     one.apply(Revision(3), vec![Change::Removed("a".into())], ms(1000));
     tell(&one, &mut other, 1100);
@@ -183,11 +183,11 @@
 #[test]
 fn an_older_news_of_a_ready_endpoint_does_not_undo_that_it_leaves() {
     let mut tracker = Tracker::default();
-    tracker.apply(Revision(5), vec![put("a", "10.0.0.1:1", State::Leaving)], ms(0));
+    tracker.apply(Revision(5), vec![put("a", "10.0.0.1:1", State::Draining)], ms(0));
     assert!(!tracker.apply(Revision(4), vec![put("a", "10.0.0.1:1", State::Ready)], ms(10)));
     assert!(!tracker.apply(Revision(4), vec![put("b", "10.0.0.1:1", State::Ready)], ms(10)));
     assert_eq!(listed(&tracker), ["a"], "nor takes its address");
-    assert_eq!(tracker.directory().entries.values().next().unwrap().state, State::Leaving);
+    assert_eq!(tracker.directory().entries.values().next().unwrap().state, State::Draining);
 }
 
 #[test]
--- a/tests/testsuite/gateway/notice.rs
+++ b/tests/testsuite/gateway/notice.rs
@@ -33,7 +33,7 @@
     for other in others {
         assert_ne!(first, other);
     }
-    let changed = Entry { slots: 9, state: State::Leaving, ..started(here, Some(1)) };
+    let changed = Entry { slots: 9, state: State::Draining, ..started(here, Some(1)) };
     assert_eq!(first, Run::of(&"e".into(), &changed));
 }
 
