--- a/crates/core/src/gateway/budget.rs
+++ b/crates/core/src/gateway/budget.rs
@@ -9,7 +9,7 @@
 
 /// What the operators allow.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct Options {
     /// Sends beyond the first, for each request.
     pub ratio: f64,
     /// The length of the window.
@@ -31,29 +31,29 @@
 // Invariant: both queues are in the order of time.
 pub struct Budget {
     requests: VecDeque<Duration>,
-    repeats: VecDeque<Duration>,
+    retries: VecDeque<Duration>,
 }
 
 impl Budget {
     /// Takes in a request.
-    pub fn request(&mut self, now: Duration, terms: &Terms) {
-        forget(&mut self.requests, now, terms.window);
+    pub fn record_request(&mut self, now: Duration, options: &Options) {
+        forget(&mut self.requests, now, options.window);
         self.requests.push_back(now);
     }
 
     /// Whether another send may be made, among so many gateways.
-    pub fn affords(&mut self, now: Duration, terms: &Terms, gateways: usize) -> bool {
-        forget(&mut self.requests, now, terms.window);
-        forget(&mut self.repeats, now, terms.window);
-        let slack = if now < terms.slack_from { 0.0 } else { terms.slack };
+    pub fn allows_retry(&mut self, now: Duration, options: &Options, gateways: usize) -> bool {
+        forget(&mut self.requests, now, options.window);
+        forget(&mut self.retries, now, options.window);
+        let slack = if now < options.slack_from { 0.0 } else { options.slack };
         let slack = slack / gateways.max(1) as f64;
-        let allowed = PART * (terms.ratio * self.requests.len() as f64 + slack);
-        (self.repeats.len() as f64) + 1.0 <= allowed
+        let allowed = PART * (options.ratio * self.requests.len() as f64 + slack);
+        (self.retries.len() as f64) + 1.0 <= allowed
     }
 
     /// Takes in a send beyond the first.
-    pub fn repeat(&mut self, now: Duration) {
-        self.repeats.push_back(now);
+    pub fn record_retry(&mut self, now: Duration) {
+        self.retries.push_back(now);
     }
 }
 
--- a/crates/core/src/gateway/cold.rs
+++ b/crates/core/src/gateway/cold.rs
@@ -25,14 +25,14 @@
 
 /// What operators allow to a cold endpoint beside what its service declares.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct Options {
     /// How many times the declared rate.
     pub overage: f64,
     /// Requests beyond that.
     pub slack: f64,
 }
 
-impl Terms {
+impl Options {
     /// The bound of a service whose cold endpoints are declared to bear so many requests a
     /// second.
     #[must_use]
--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -154,7 +154,7 @@
     /// Takes in that a request for a service came, which earns sends beyond the first.
     pub fn earn_repeat(&self, service: &Service) {
         let (now, terms) = (self.clock.now(), self.state.terms().budget);
-        self.budget(service, |budget| budget.request(now, &terms));
+        self.budget(service, |budget| budget.record_request(now, &terms));
     }
 
     /// Takes in that a request for a service came.
@@ -178,9 +178,9 @@
         let (now, terms) = (self.clock.now(), self.state.terms().budget);
         let gateways = self.state.view().gateways;
         self.budget(service, |budget| {
-            let affords = budget.affords(now, &terms, gateways);
+            let affords = budget.allows_retry(now, &terms, gateways);
             if affords {
-                budget.repeat(now);
+                budget.record_retry(now);
             }
             affords
         })
--- a/src/cinderspoke/gateway/terms.rs
+++ b/src/cinderspoke/gateway/terms.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone)]
 pub struct Terms {
     /// The budget of sends beyond the first.
-    pub budget: budget::Terms,
+    pub budget: budget::Options,
     /// How long after a version was named an older one may begin requests.
     pub overlap: Overlap,
     /// How long news of endpoints gather before the store is asked for more.
@@ -33,7 +33,7 @@
     /// known which ones are.
     pub evacuates: bool,
     /// What a cold endpoint may receive; none without a bound.
-    pub cold: Option<cold::Terms>,
+    pub cold: Option<cold::Options>,
     /// Gateways to be told of this one while it knows of no others.
     pub seeds: Vec<SocketAddr>,
 }
@@ -52,7 +52,7 @@
         let overlap = Overlap::within(Duration::from_millis(bounds.version_ms));
         let window = Duration::from_secs_f64(bounds.budget_window_s);
         Self {
-            budget: budget::Terms {
+            budget: budget::Options {
                 ratio: bounds.retry_budget_ratio,
                 window,
                 slack: bounds.budget_slack,
@@ -66,7 +66,7 @@
             evacuates: bounds.evacuate_ms.is_some(),
             cold: bounds
                 .cold_overage
-                .map(|overage| cold::Terms { overage, slack: bounds.cold_slack }),
+                .map(|overage| cold::Options { overage, slack: bounds.cold_slack }),
             seeds: seed_addresses(settings).into_iter().filter(|seed| *seed != own).collect(),
         }
     }
--- a/tests/testsuite/gateway/budget.rs
+++ b/tests/testsuite/gateway/budget.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use cinderspoke_core::gateway::budget::{Budget, Terms};
+use cinderspoke_core::gateway::budget::{Budget, Options};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use super::ms;
 
-fn terms() -> Terms {
-    Terms { ratio: 0.2, window: ms(10_000), slack: 100.0, slack_from: Duration::ZERO }
+fn options() -> Options {
+    Options { ratio: 0.2, window: ms(10_000), slack: 100.0, slack_from: Duration::ZERO }
 }
 
 #[test]
 fn gateways_together_stay_within_the_budget() {
-    let terms = terms();
+    let options = options();
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut budgets: Vec<Budget> = (0..7).map(|_| Budget::default()).collect();
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
@@ -22,11 +22,11 @@
         let now = ms(step);
         let budget = &mut budgets[random.random_range(0..7)];
         if random.random_bool(0.1) {
-            budget.request(now, &terms);
+            budget.record_request(now, &options);
             requests.push(now);
         }
-        if budget.affords(now, &terms, 7) {
-            budget.repeat(now);
+        if budget.allows_retry(now, &options, 7) {
+            budget.record_retry(now);
             repeats.push(now);
         }
     }
@@ -44,14 +44,15 @@
 fn gateways_that_start_again_do_not_spend_the_slack_a_second_time() {
     // Each gateway has spent its share of the slack and starts again, one after
     // the other, with its clock at zero and nothing known of what it spent.
-    let terms = Terms { slack_from: ms(10_000), ..terms() };
+    let options = Options { slack_from: ms(10_000), ..options() };
     let spend_all = |budget: &mut Budget, now| {
-        let spent =
-            std::iter::from_fn(|| budget.affords(now, &terms, 7).then(|| budget.repeat(now)));
+        let spent = std::iter::from_fn(|| {
+            budget.allows_retry(now, &options, 7).then(|| budget.record_retry(now))
+        });
         spent.count()
     };
     let before: usize = (0..7).map(|_| spend_all(&mut Budget::default(), ms(60_000))).sum();
     let after: usize = (0..7).map(|_| spend_all(&mut Budget::default(), ms(500))).sum();
     assert!(before > 50, "the slack is there to be spent: {before}");
-    assert!((before + after) as f64 <= terms.slack, "{before} before and {after} after");
+    assert!((before + after) as f64 <= options.slack, "{before} before and {after} after");
 }
--- a/tests/testsuite/gateway/cold.rs
+++ b/tests/testsuite/gateway/cold.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cinderspoke_core::gateway::cold::{Bound, Sends, Terms};
+use cinderspoke_core::gateway::cold::{Bound, Options, Sends};
 use cinderspoke_core::rendezvous::Key;
 use yare::parameterized;
 
@@ -29,7 +29,7 @@
 // Guards against gateways that together send more than a cold endpoint bears.
 #[parameterized(one = { 1 }, few = { 9 }, as_many_as_the_bound = { 26 }, many = { 60 }, hundreds = { 546 })]
 fn the_shares_of_all_gateways_are_within_the_bound(gateways: u16) {
-    let bound = Terms { overage: 1.5, slack: 5.0 }.bound(14.0);
+    let bound = Options { overage: 1.5, slack: 5.0 }.bound(14.0);
     assert_eq!(bound, Bound(26.0));
     for endpoint in ["e1", "e2", "e3"] {
         let sum: usize = shares(bound, gateways, endpoint).iter().sum();
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -25,8 +25,9 @@
         let (now, terms) = (state.clock().now(), state.terms().budget);
         let known = state.view().gateways;
         let mut budget = Budget::default();
-        let repeats =
-            std::iter::from_fn(|| budget.affords(now, &terms, known).then(|| budget.repeat(now)));
+        let repeats = std::iter::from_fn(|| {
+            budget.allows_retry(now, &terms, known).then(|| budget.record_retry(now))
+        });
         repeats.count()
     });
     spent.sum()
