--- a/crates/core/src/gateway/evacuation.rs
+++ b/crates/core/src/gateway/evacuation.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// The zone is to be emptied.
-    Emptied(Zone),
+    Evacuated(Zone),
     /// The zone may be used again.
     Reopened(Zone),
 }
@@ -35,7 +35,7 @@
 
     /// Whether a zone is emptied.
     #[must_use]
-    pub fn holds(&self, zone: &Zone) -> bool {
+    pub fn is_evacuated(&self, zone: &Zone) -> bool {
         self.known.as_ref().is_some_and(|known| known.value.contains(zone))
     }
 
@@ -58,7 +58,7 @@
         let mut zones = self.known.clone().unwrap_or_default().value;
         for change in changes {
             match change {
-                Change::Emptied(zone) => _ = zones.insert(zone),
+                Change::Evacuated(zone) => _ = zones.insert(zone),
                 Change::Reopened(zone) => _ = zones.remove(&zone),
             }
         }
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -429,7 +429,7 @@
             let (target, entry) = (Arc::clone(target), entry.clone());
             let distance = self.distance(&entry.zone);
             let region = self.region_of(&entry.zone);
-            let is_emptied = inner.evacuation.holds(&entry.zone);
+            let is_emptied = inner.evacuation.is_evacuated(&entry.zone);
             let members = members.entry(entry.service.clone()).or_default();
             members.push(Member { target, entry, distance, region, is_emptied });
         }
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -77,7 +77,7 @@
         let reopened = entries
             .iter()
             .filter(|(_, entry)| before.contains(&entry.zone))
-            .filter(|(_, entry)| !self.evacuation.holds(&entry.zone));
+            .filter(|(_, entry)| !self.evacuation.is_evacuated(&entry.zone));
         for (name, entry) in reopened {
             if let (Some(target), Some(cold)) = (self.targets.get(name), self.cold(&entry.service))
             {
--- a/tests/testsuite/gateway/evacuation.rs
+++ b/tests/testsuite/gateway/evacuation.rs
@@ -16,8 +16,8 @@
     let mut table = Table::default();
     assert!(table.replace(told(5, &["a"])));
     assert!(!table.replace(told(4, &[])));
-    assert!(table.holds(&"a".into()));
-    assert!(!table.holds(&"b".into()));
+    assert!(table.is_evacuated(&"a".into()));
+    assert!(!table.is_evacuated(&"b".into()));
 }
 
 // Guards against changes that are lost between a list and the watch that follows it.
@@ -25,10 +25,10 @@
 fn changes_apply_on_top_of_what_is_known() {
     let mut table = Table::default();
     table.replace(told(5, &["a"]));
-    assert!(table.apply(Revision(6), vec![Change::Emptied("b".into())]));
-    assert!(table.holds(&"a".into()) && table.holds(&"b".into()));
+    assert!(table.apply(Revision(6), vec![Change::Evacuated("b".into())]));
+    assert!(table.is_evacuated(&"a".into()) && table.is_evacuated(&"b".into()));
     assert!(table.apply(Revision(7), vec![Change::Reopened("a".into())]));
-    assert!(!table.holds(&"a".into()) && table.holds(&"b".into()));
+    assert!(!table.is_evacuated(&"a".into()) && table.is_evacuated(&"b".into()));
     assert!(!table.apply(Revision(9), Vec::new()), "nothing differs");
     assert_eq!(table.known().unwrap().revision, Revision(9));
 }
