--- a/crates/core/src/gateway/call.rs
+++ b/crates/core/src/gateway/call.rs
@@ -24,7 +24,7 @@
     /// The first parts of the prompt, shared with other requests: key and tokens.
     pub prefix: Vec<(u64, u32)>,
     /// The last event of a stream that the caller has already.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
 }
 
 /// The size of a generation, in tokens.
@@ -33,15 +33,15 @@
     /// Tokens of the prompt.
     pub prompt: u32,
     /// The most tokens of the answer.
-    pub most: u32,
+    pub max_answer: u32,
     /// Tokens of the answer as the caller guesses; often far off.
-    pub guess: Option<u32>,
+    pub answer_hint: Option<u32>,
 }
 
 impl Size {
     /// The tokens that the answer is expected to have.
     #[must_use]
     pub fn expected(&self) -> u32 {
-        self.guess.unwrap_or(self.most / 2).min(self.most.max(1))
+        self.answer_hint.unwrap_or(self.max_answer / 2).min(self.max_answer.max(1))
     }
 }
--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -159,9 +159,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Cold {
     /// How long that lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// A team and the keys that stand for it.
--- a/crates/core/src/gateway/changeover.rs
+++ b/crates/core/src/gateway/changeover.rs
@@ -56,7 +56,7 @@
 
     /// When it takes nothing new any more, after its weights are there.
     #[must_use]
-    pub fn close(self) -> Duration {
+    pub fn close_after(self) -> Duration {
         match self {
             Self::First => Duration::ZERO,
             Self::Second => BACK,
@@ -65,7 +65,7 @@
 
     /// When what still runs is broken off, after its weights are there.
     #[must_use]
-    pub fn break_off(self) -> Duration {
+    pub fn abort_after(self) -> Duration {
         match self {
             Self::First => Duration::ZERO,
             Self::Second => BACK + DRAIN,
--- a/crates/core/src/gateway/demand.rs
+++ b/crates/core/src/gateway/demand.rs
@@ -16,7 +16,7 @@
 
 impl Demand {
     /// Takes in an arrival.
-    pub fn arrived(&mut self, now: Duration) {
+    pub fn record_arrival(&mut self, now: Duration) {
         self.weight = self.left(now) + 1.0;
         self.at = now;
     }
--- a/crates/core/src/gateway/event.rs
+++ b/crates/core/src/gateway/event.rs
@@ -12,13 +12,13 @@
 
 /// Whole events and the number of the last of them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Whole {
+pub struct Events {
     /// Their bytes.
     pub bytes: Vec<u8>,
     /// How many they are.
     pub count: usize,
     /// The number of the last one that has one.
-    pub last: Option<u64>,
+    pub last_id: Option<u64>,
 }
 
 /// Collects bytes until they make up whole events.
@@ -43,7 +43,7 @@
     /// # Errors
     ///
     /// When an event does not end.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Whole>, Error> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Events>, Error> {
         self.rest.extend_from_slice(bytes);
         let Some(end) = last_end(&self.rest) else {
             return if self.rest.len() > MAX_EVENT { Err(Error::TooLong) } else { Ok(None) };
@@ -52,13 +52,13 @@
         let whole = std::mem::replace(&mut self.rest, rest);
         let events = events(&whole);
         let count = events.len();
-        let last = events.iter().rev().find_map(|event| id(event));
-        Ok(Some(Whole { bytes: whole, count, last }))
+        let last_id = events.iter().rev().find_map(|event| id(event));
+        Ok(Some(Events { bytes: whole, count, last_id }))
     }
 
     /// Whether an event has begun that is not whole.
     #[must_use]
-    pub fn is_torn(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.rest.is_empty()
     }
 }
--- a/crates/core/src/gateway/listing.rs
+++ b/crates/core/src/gateway/listing.rs
@@ -23,7 +23,7 @@
 
 /// Who is asked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Ask<'a> {
+pub enum Source<'a> {
     /// The origin.
     Origin,
     /// Another agent, which may wait for the listing itself.
@@ -55,10 +55,10 @@
 
     /// Whom to ask after so many attempts that brought nothing.
     #[must_use]
-    pub fn ask(&self, attempt: usize) -> Ask<'_> {
+    pub fn source(&self, attempt: usize) -> Source<'_> {
         match self.ancestor(attempt) {
-            Ok(parent) => Ask::Peer(parent),
-            Err(later) => self.ask_later(later),
+            Ok(parent) => Source::Peer(parent),
+            Err(later) => self.fallback(later),
         }
     }
 
@@ -74,13 +74,13 @@
     }
 
     /// Whom to ask once all ancestors gave nothing: the origin and others by turns.
-    fn ask_later(&self, attempt: usize) -> Ask<'_> {
+    fn fallback(&self, attempt: usize) -> Source<'_> {
         let round = attempt / 2;
         let origins_turn = attempt.is_multiple_of(2) && round >= self.own / ROUND;
         let mut others = self.others().cycle().skip(self.own + round);
         match others.next().filter(|_| !origins_turn) {
-            Some(peer) => Ask::Peer(peer),
-            None => Ask::Origin,
+            Some(peer) => Source::Peer(peer),
+            None => Source::Origin,
         }
     }
 
--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -161,7 +161,7 @@
     pub fn demanded(&self, service: &Service) {
         let now = self.clock.now();
         let mut demands = self.demands.lock().unwrap_or_else(PoisonError::into_inner);
-        demands.entry(service.clone()).or_default().arrived(now);
+        demands.entry(service.clone()).or_default().record_arrival(now);
     }
 
     /// How many requests a second other gateways are taken to get for a service:
--- a/src/cinderspoke/gateway/passing.rs
+++ b/src/cinderspoke/gateway/passing.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use cinderspoke_core::gateway::attempt::{Next, Outcome};
-use cinderspoke_core::gateway::event::Whole;
+use cinderspoke_core::gateway::event::Events;
 use cinderspoke_core::gateway::health::Sign;
 use http::{Response, StatusCode, header, response};
 use http_body_util::{BodyExt, StreamBody};
@@ -116,13 +116,13 @@
     }
 
     /// Passes events on, unless the caller has had them.
-    fn pass(&mut self, events: Whole) -> io::Result<Bytes> {
-        if let (Some(last), Some(new)) = (self.last, events.last)
+    fn pass(&mut self, events: Events) -> io::Result<Bytes> {
+        if let (Some(last), Some(new)) = (self.last, events.last_id)
             && new <= last
         {
             return Err(self.break_off("events came twice"));
         }
-        self.last = events.last.or(self.last);
+        self.last = events.last_id.or(self.last);
         self.record.passed();
         Ok(events.bytes.into())
     }
--- a/src/cinderspoke/gateway/record.rs
+++ b/src/cinderspoke/gateway/record.rs
@@ -145,8 +145,8 @@
     pub fn goes_to(&mut self, engine: Option<&Engine>) {
         self.usual = engine.map(|engine| Size {
             prompt: engine.usual_prompt,
-            most: engine.usual_answer,
-            guess: None,
+            max_answer: engine.usual_answer,
+            answer_hint: None,
         });
     }
 
@@ -169,7 +169,7 @@
         tracing::info!(
             id = self.id(),
             prompt = self.size.prompt,
-            answer = self.size.most,
+            answer = self.size.max_answer,
             body_bytes = self.body_bytes,
             waited_ms = self.waited.as_millis() as u64,
             members,
@@ -258,7 +258,7 @@
         };
         if let Some(usual) = self.usual {
             count("prompt", Class::of(self.size.prompt.into(), usual.prompt.into()));
-            count("answer", Class::of(self.size.most.into(), usual.most.into()));
+            count("answer", Class::of(self.size.max_answer.into(), usual.max_answer.into()));
         }
         if let Some(bytes) = self.body_bytes {
             count("body", Class::of(bytes, USUAL_BODY));
@@ -288,8 +288,8 @@
             gap_ms = self.gap.as_millis() as u64,
             gap_aim_ms = ms(self.gap_aim),
             prompt = self.size.prompt,
-            answer = self.size.most,
-            guess = self.size.guess,
+            answer = self.size.max_answer,
+            guess = self.size.answer_hint,
             body_bytes = self.body_bytes,
             endpoint = self.endpoint.as_ref().map(Endpoint::as_str),
             weights = self.weights.map(|version| version.0),
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -173,7 +173,7 @@
         left: parsed.deadline.left(),
         team: parsed.team.as_ref(),
         priority: parsed.priority,
-        after: after.or(parsed.call.after),
+        after: after.or(parsed.call.last_event),
     };
     context.dialect.address(request.headers_mut(), &sending);
     request
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -338,7 +338,7 @@
             let now = self.clock.now();
             if let Some(cold) = cold.filter(|_| tracking.load.report(now).is_none()) {
                 // It may have started anew while nothing was heard of it.
-                target.extend_cold(now + cold.lasts);
+                target.extend_cold(now + cold.duration);
             }
             tracking.load.reported(report, told, now);
             if is_answer {
--- a/src/cinderspoke/gateway/stream.rs
+++ b/src/cinderspoke/gateway/stream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::attempt::Outcome;
-use cinderspoke_core::gateway::event::{Splitter, Whole};
+use cinderspoke_core::gateway::event::{Events, Splitter};
 use http::response;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -23,7 +23,7 @@
     keep: Option<Duration>,
     splitter: Splitter,
     // Whole events that are to be passed on.
-    ready: Option<Whole>,
+    ready: Option<Events>,
     // Whether the endpoint has ended the stream.
     ended: bool,
 }
@@ -51,7 +51,7 @@
 /// What a stream brings next.
 pub enum Part {
     /// Whole events.
-    Events(Whole),
+    Events(Events),
     /// The endpoint has ended it.
     End,
 }
@@ -111,7 +111,7 @@
         loop {
             let frame = until.bound(self.body.frame()).await.map_err(|_| Stopped::Silent)?;
             let Some(frame) = frame else {
-                return if self.splitter.is_torn() {
+                return if self.splitter.has_partial() {
                     Err(Stopped::BrokeOff)
                 } else {
                     Ok(Part::End)
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -60,7 +60,7 @@
     pub fn cold_bound(&self, view: &View, service: &Service) -> Option<Bound> {
         let terms = self.terms().cold?;
         let cold = view.catalog.as_ref()?.backend(service)?.cold?;
-        Some(terms.bound(cold.per_s))
+        Some(terms.bound(cold.requests_per_s))
     }
 }
 
@@ -81,7 +81,7 @@
         for (name, entry) in reopened {
             if let (Some(target), Some(cold)) = (self.targets.get(name), self.cold(&entry.service))
             {
-                target.extend_cold(now + cold.lasts);
+                target.extend_cold(now + cold.duration);
             }
         }
     }
--- a/src/cinderspoke/stager/listings.rs
+++ b/src/cinderspoke/stager/listings.rs
@@ -11,7 +11,7 @@
 use axum::extract::{Query, State};
 use axum::routing::get;
 use bytes::Bytes;
-use cinderspoke_core::gateway::listing::{Ask, Tree};
+use cinderspoke_core::gateway::listing::{Source, Tree};
 use cinderspoke_core::gateway::name::Model;
 use cinderspoke_core::gateway::rollout::Version;
 use cinderspoke_core::manifest::Manifest;
@@ -79,9 +79,9 @@
             if let Some(manifest) = self.known(wanted) {
                 return manifest;
             }
-            let (from, result) = match tree().ask(attempt) {
-                Ask::Origin => ("origin", self.read(wanted, origin()).await),
-                Ask::Peer(peer) => ("agent", self.ask(wanted, peer.address).await),
+            let (from, result) = match tree().source(attempt) {
+                Source::Origin => ("origin", self.read(wanted, origin()).await),
+                Source::Peer(peer) => ("agent", self.ask(wanted, peer.address).await),
             };
             let version = wanted.version;
             match result {
--- a/src/cinderspoke/stager/load.rs
+++ b/src/cinderspoke/stager/load.rs
@@ -49,9 +49,9 @@
         }
         let idle = self.is_idle().await?;
         if !idle {
-            sleep_until(collected + changeover.close()).await;
+            sleep_until(collected + changeover.close_after()).await;
             self.reporter.set_open(false).await;
-            self.drain(collected + changeover.break_off()).await?;
+            self.drain(collected + changeover.abort_after()).await?;
         }
         self.check_staged(manifest).await?;
         let report = self.report().await?;
--- a/tests/testsuite/gateway/changeover.rs
+++ b/tests/testsuite/gateway/changeover.rs
@@ -27,8 +27,8 @@
 #[test]
 fn the_second_wave_closes_when_the_first_should_be_back() {
     let (first, second) = (Changeover::of_wave(0), Changeover::of_wave(1));
-    assert!(second.close() > first.break_off());
-    assert!(second.break_off() > second.close());
+    assert!(second.close_after() > first.abort_after());
+    assert!(second.abort_after() > second.close_after());
 }
 
 // Guards against half of the engines closing too early and sitting idle behind a slow origin.
--- a/tests/testsuite/gateway/demand.rs
+++ b/tests/testsuite/gateway/demand.rs
@@ -8,7 +8,7 @@
 fn a_steady_rate_is_found_and_one_that_ends_forgotten() {
     let mut demand = Demand::default();
     assert_eq!(demand.per_second(ms(0)), 0.0);
-    (0..500).for_each(|number| demand.arrived(ms(20 * number)));
+    (0..500).for_each(|number| demand.record_arrival(ms(20 * number)));
     let rate = demand.per_second(ms(10_000));
     assert!((45.0..55.0).contains(&rate), "{rate} of 50 a second");
     assert!(demand.per_second(ms(20_000)) < 1.0);
@@ -17,8 +17,8 @@
 #[test]
 fn a_burst_is_seen_within_a_second_or_two() {
     let mut demand = Demand::default();
-    (0..100).for_each(|number| demand.arrived(ms(100 * number)));
-    (0..150).for_each(|number| demand.arrived(ms(10_000 + 10 * number)));
+    (0..100).for_each(|number| demand.record_arrival(ms(100 * number)));
+    (0..150).for_each(|number| demand.record_arrival(ms(10_000 + 10 * number)));
     let rate = demand.per_second(ms(11_500));
     assert!((50.0..100.0).contains(&rate), "{rate}, 10 before and 100 now");
 }
--- a/tests/testsuite/gateway/event.rs
+++ b/tests/testsuite/gateway/event.rs
@@ -29,7 +29,7 @@
             rest = after;
             if let Some(whole) = splitter.push(piece).unwrap() {
                 passed.extend(&whole.bytes);
-                last = whole.last.or(last);
+                last = whole.last_id.or(last);
                 let text = String::from_utf8(passed.clone()).unwrap().replace('\r', "");
                 assert!(text.ends_with("\n\n"));
                 let count = text.matches("\n\n").count();
@@ -39,7 +39,7 @@
             }
         }
         assert_eq!(passed, stream);
-        assert!(!splitter.is_torn());
+        assert!(!splitter.has_partial());
     }
 }
 
@@ -48,6 +48,6 @@
     let mut splitter = Splitter::default();
     let whole = splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n").unwrap().unwrap();
     assert_eq!(whole.bytes, b"id: 1\ndata: a\n\n");
-    assert_eq!((whole.count, whole.last), (1, Some(1)));
-    assert!(splitter.is_torn());
+    assert_eq!((whole.count, whole.last_id), (1, Some(1)));
+    assert!(splitter.has_partial());
 }
--- a/tests/testsuite/gateway/listing.rs
+++ b/tests/testsuite/gateway/listing.rs
@@ -1,6 +1,6 @@
 //! Whom agents ask for a version's listing.
 
-use cinderspoke_core::gateway::listing::{Ask, Tree};
+use cinderspoke_core::gateway::listing::{Source, Tree};
 use cinderspoke_core::rendezvous::Key;
 use cinderspoke_schema::control::Peer;
 
@@ -20,7 +20,7 @@
 fn one_agent_of_each_zone_asks_the_origin_for_a_listing_at_first() {
     let agents = agents(&["a", "b", "c"], 25);
     let asks = agents.iter().map(|own| Tree::new(Key::of("m 2"), own, &agents));
-    let roots = asks.filter(|tree| tree.ask(0) == Ask::Origin).count();
+    let roots = asks.filter(|tree| tree.source(0) == Source::Origin).count();
     assert_eq!(roots, 3);
 }
 
@@ -29,13 +29,13 @@
     let agents = agents(&["a", "b"], 20);
     for own in &agents {
         let tree = Tree::new(Key::of("m 2"), own, &agents);
-        let asked: Vec<_> = (0..200).map(|attempt| tree.ask(attempt)).collect();
-        let origin = asked.iter().position(|ask| *ask == Ask::Origin).unwrap();
+        let asked: Vec<_> = (0..200).map(|attempt| tree.source(attempt)).collect();
+        let origin = asked.iter().position(|ask| *ask == Source::Origin).unwrap();
         assert!(origin <= 10, "{} asks the origin only after {origin} attempts", own.instance);
         for other in agents.iter().filter(|other| other.instance != own.instance) {
-            assert!(asked.contains(&Ask::Peer(other)), "never asks {}", other.instance);
+            assert!(asked.contains(&Source::Peer(other)), "never asks {}", other.instance);
         }
-        assert!(!asked.contains(&Ask::Peer(own)));
+        assert!(!asked.contains(&Source::Peer(own)));
     }
 }
 
@@ -43,5 +43,5 @@
 fn an_agent_alone_asks_the_origin() {
     let agents = agents(&["a"], 1);
     let tree = Tree::new(Key::of("m 2"), &agents[0], &[]);
-    assert!((0..9).all(|attempt| tree.ask(attempt) == Ask::Origin));
+    assert!((0..9).all(|attempt| tree.source(attempt) == Source::Origin));
 }
--- a/tests/testsuite/gateway/load.rs
+++ b/tests/testsuite/gateway/load.rs
@@ -29,7 +29,7 @@
     }
 }
 
-const SIZE: Size = Size { prompt: 1000, most: 100, guess: None };
+const SIZE: Size = Size { prompt: 1000, max_answer: 100, answer_hint: None };
 
 fn report(running: u32, queued: u32) -> Report {
     let version = Some(Version(1));
--- a/tests/testsuite/gateway/overload/world.rs
+++ b/tests/testsuite/gateway/overload/world.rs
@@ -222,7 +222,7 @@
     /// One attempt of a caller at any gateway.
     fn attempt(&mut self, caller: usize) {
         let gateway = self.gateway();
-        self.demands[gateway].arrived(self.now);
+        self.demands[gateway].record_arrival(self.now);
         let spread = self.random.random();
         match self.rule {
             Rule::Ours => {
@@ -365,7 +365,7 @@
     }
 
     fn size(&self, caller: usize) -> Size {
-        Size { prompt: self.callers[caller].prompt as u32, most: 200, guess: None }
+        Size { prompt: self.callers[caller].prompt as u32, max_answer: 200, answer_hint: None }
     }
 
     fn wish(&self, gateway: usize, caller: usize, spread: u64) -> Wish {
--- a/tests/testsuite/gateway/size_fairness.rs
+++ b/tests/testsuite/gateway/size_fairness.rs
@@ -66,7 +66,7 @@
 }
 
 fn size(prompt: u32) -> Size {
-    Size { prompt, most: 250, guess: None }
+    Size { prompt, max_answer: 250, answer_hint: None }
 }
 
 fn candidates(estimates: &[Estimate], prompt: u32, agent: Agent) -> Vec<Candidate> {
