--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -50,17 +50,17 @@
     /// Tokens that fit into memory.
     pub total: u64,
     /// How much slower than declared it is; 1 is as declared.
-    pub pace: f32,
+    pub slowdown: f32,
     /// The version of the weights with which it answers; none while it has none whole.
     pub version: Option<Version>,
     /// Whether it takes new requests; not while it changes weights.
-    pub open: bool,
+    pub accepts_requests: bool,
     /// The age of the newest word that its instance had from a gateway.
-    pub deaf: Duration,
+    pub last_contact_age: Duration,
     /// Whether what goes over its instance's link may be held up for seconds.
-    pub narrow: bool,
+    pub is_congested: bool,
     /// Whether the engine says that it leaves.
-    pub leaving: Option<Departure>,
+    pub drain: Option<Departure>,
     /// Tells the processes of an agent apart: each has a clock of its own.
     pub process: u64,
     /// What other gateways than the one that is told have outstanding there.
@@ -115,12 +115,12 @@
     /// Prompt tokens to be read before another request's.
     pub unread: f64,
     /// How much slower than declared it is.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 impl Load {
     /// Takes in a report that has just come, with the agent's own time.
-    pub fn reported(&mut self, report: Report, told: Duration, now: Duration) {
+    pub fn apply_report(&mut self, report: Report, told: Duration, now: Duration) {
         let offset = now.as_micros() as i128 - told.as_micros() as i128;
         let before = self.report.as_ref().map(|(_, report)| report.process);
         let least = match self.offset {
@@ -135,13 +135,13 @@
     }
 
     /// Takes in that the last report was its agent's answer to a question.
-    pub fn answered(&mut self, now: Duration) {
+    pub fn record_answer(&mut self, now: Duration) {
         self.answered = Some(now);
     }
 
     /// Whether its agent has just answered a question.
     #[must_use]
-    pub fn has_answered(&self, now: Duration) -> bool {
+    pub fn has_recent_answer(&self, now: Duration) -> bool {
         self.answered.is_some_and(|at| at + reservation::ANSWER >= now)
     }
 
@@ -162,31 +162,32 @@
     /// Whether its agent has reported and then fell silent, or reports come late:
     /// the instance stands still, is cut off, or its link is full.
     #[must_use]
-    pub fn is_out_of_reach(&self, now: Duration) -> bool {
+    pub fn is_unreachable(&self, now: Duration) -> bool {
         self.report.is_some()
-            && (self.report(now).is_none_or(|report| report.deaf > DEAF) || self.delay > DELAYED)
+            && (self.report(now).is_none_or(|report| report.last_contact_age > DEAF)
+                || self.delay > DELAYED)
     }
 
     /// Whether a request of this gateway waits for its first token much longer than it should.
     #[must_use]
-    pub fn is_stuck(&self, now: Duration) -> bool {
+    pub fn is_stalled(&self, now: Duration) -> bool {
         self.sent.values().any(|sent| sent.is_overdue(now))
     }
 
     /// Takes in that a request was sent whose first token should come so soon.
-    pub fn sent(&mut self, number: u64, prompt: u32, first: Duration, now: Duration) {
+    pub fn record_sent(&mut self, number: u64, prompt: u32, first: Duration, now: Duration) {
         self.sent.insert(number, Sent { at: now, first, prompt, begun: false });
     }
 
     /// Takes in that a request has its first token.
-    pub fn begun(&mut self, number: u64) {
+    pub fn record_first_token(&mut self, number: u64) {
         if let Some(sent) = self.sent.get_mut(&number) {
             sent.begun = true;
         }
     }
 
     /// Takes in that a request has ended, however it did.
-    pub fn ended(&mut self, number: u64) {
+    pub fn record_end(&mut self, number: u64) {
         if let Some(sent) = self.sent.remove(&number)
             && self.report.as_ref().is_some_and(|(at, _)| sent.at < *at)
         {
@@ -196,7 +197,7 @@
 
     /// How many of this gateway's requests it has.
     #[must_use]
-    pub fn own(&self) -> usize {
+    pub fn own_requests(&self) -> usize {
         self.sent.len()
     }
 
@@ -223,7 +224,7 @@
                 requests: self.sent.len() as f64 * gateways,
                 waiting: waiting * gateways,
                 unread: self.sent.values().map(unread).sum::<f64>() * gateways,
-                pace: 1.0,
+                slowdown: 1.0,
             };
         };
         let at = self.report.as_ref().map_or(Duration::ZERO, |(at, _)| *at);
@@ -241,7 +242,7 @@
                 .max(f64::from(own.waiting) + f64::from(others.waiting)),
             unread: (f64::from(report.queued) * usual + tokens)
                 .max(f64::from(own.unread) + f64::from(others.unread)),
-            pace: f64::from(report.pace).max(1.0),
+            slowdown: f64::from(report.slowdown).max(1.0),
         }
     }
 }
@@ -261,7 +262,7 @@
 
 /// By how much each request at a full engine has the next ones wait longer.
 #[must_use]
-pub fn turn(engine: &Engine) -> Duration {
+pub fn service_time(engine: &Engine) -> Duration {
     let step = step_ms(engine, f64::from(engine.slots));
     Duration::from_secs_f64(turn_ms(engine, step).clamp(0.0, MOST_MS) / 1000.0)
 }
@@ -279,22 +280,22 @@
     /// The time that it waits for others: their prompts, their steps, and a free slot.
     pub wait: Duration,
     /// The time that its own prompt takes to be read.
-    pub own: Duration,
+    pub prefill: Duration,
     /// The time that a usual prompt would take to be read in its place.
-    pub usual: Duration,
+    pub usual_prefill: Duration,
 }
 
 impl Forecast {
     /// The time until its first token.
     #[must_use]
-    pub fn first(&self) -> Duration {
-        self.wait + self.own
+    pub fn ttft(&self) -> Duration {
+        self.wait + self.prefill
     }
 
     /// The time until a request with a usual prompt would have its first token in its place.
     #[must_use]
-    pub fn first_of_usual(&self) -> Duration {
-        self.wait + self.usual
+    pub fn usual_ttft(&self) -> Duration {
+        self.wait + self.usual_prefill
     }
 }
 
@@ -317,11 +318,11 @@
     let passes = if running >= 1.0 { PASSES / (1.0 - others) } else { 1.0 };
     let wait = unread * per_token + passes * pass + excess * turn;
     let at_pace = |ms: f64| {
-        Duration::from_secs_f64((ms * estimate.pace.max(1.0)).clamp(0.0, MOST_MS) / 1000.0)
+        Duration::from_secs_f64((ms * estimate.slowdown.max(1.0)).clamp(0.0, MOST_MS) / 1000.0)
     };
     Forecast {
         wait: at_pace(wait),
-        own: at_pace(reading_ms(engine, size.prompt)),
-        usual: at_pace(reading_ms(engine, engine.usual_prompt)),
+        prefill: at_pace(reading_ms(engine, size.prompt)),
+        usual_prefill: at_pace(reading_ms(engine, engine.usual_prompt)),
     }
 }
--- a/crates/core/src/gateway/pick.rs
+++ b/crates/core/src/gateway/pick.rs
@@ -64,9 +64,9 @@
     /// How old that knowledge is.
     pub age: Duration,
     /// By how much each request that came since then would have this one wait longer.
-    pub turn: Duration,
+    pub service_time: Duration,
     /// Whether a request is to find out if it is well again.
-    pub trial: bool,
+    pub is_probe: bool,
     /// What is to be had from its agent.
     pub agent: Agent,
 }
@@ -74,13 +74,13 @@
 impl Candidate {
     /// The choice of this candidate.
     pub(super) fn chosen(&self) -> Choice {
-        Choice::Send { number: self.number, first: self.first() }
+        Choice::Send { number: self.number, ttft: self.ttft() }
     }
 
     /// The time until it would begin to answer.
     #[must_use]
-    pub fn first(&self) -> Duration {
-        self.forecast.first()
+    pub fn ttft(&self) -> Duration {
+        self.forecast.ttft()
     }
 }
 
@@ -90,34 +90,34 @@
     /// There is none that could be asked.
     None,
     /// It can be asked what its endpoint holds.
-    Askable,
+    Queryable,
     /// It has to be asked first: it does not report here, and nothing else tells whether its
     /// endpoint has room.
-    Unheard,
+    NotReporting,
     /// It has just answered: what is known of its endpoint is of this moment.
     Answered,
 }
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Wish {
+pub struct Requirements {
     /// The time within which an answer has to begin for its full worth, counted
     /// from the caller's first attempt.
-    pub aim: Duration,
+    pub ttft_target: Duration,
     /// What is left of that time.
-    pub target: Duration,
+    pub target_left: Duration,
     /// The time that is left until the caller needs no answer any more.
-    pub deadline: Duration,
+    pub time_left: Duration,
     /// Whether it has been sent before: such a request is not refused for being late.
-    pub sent: bool,
+    pub sent_before: bool,
     /// Whether there are endpoints that only lack the weights to answer with.
-    pub weightless: bool,
+    pub weights_missing: bool,
     /// After how long the first of the endpoints that rest takes requests again, if any do.
-    pub rest: Option<Duration>,
+    pub backoff_left: Option<Duration>,
     /// How many requests a second other gateways get for the same endpoints.
-    pub rivals: f64,
+    pub competing_rate: f64,
     /// A number that spreads requests among endpoints that are alike.
-    pub spread: u64,
+    pub seed: u64,
 }
 
 /// What becomes of a request.
@@ -128,33 +128,33 @@
         /// The endpoint's number.
         number: usize,
         /// The time until it is expected to begin to answer.
-        first: Duration,
+        ttft: Duration,
     },
     /// It is refused; the caller is to come back after this time.
     Refuse {
         /// When there should be room.
-        come_back: Duration,
+        retry_after: Duration,
         /// What the best endpoint would have needed; none when there is none.
-        best: Option<Best>,
+        best: Option<BestCandidate>,
     },
 }
 
 /// Why the best endpoint for a request is not good enough.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Best {
+pub struct BestCandidate {
     /// When it would begin to answer.
     pub forecast: Forecast,
     /// The longest wait for others with which the request would have been sent there.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// Chooses an endpoint for a request.
 #[must_use]
-pub fn pick(wish: &Wish, candidates: &[Candidate]) -> Choice {
+pub fn pick(wish: &Requirements, candidates: &[Candidate]) -> Choice {
     let limit = limit(wish);
     let candidates = with_rivals(wish, limit, candidates);
     if candidates.is_empty() {
-        return Choice::Refuse { come_back: spread_out(none_there(wish), wish.spread), best: None };
+        return Choice::Refuse { retry_after: spread_out(none_there(wish), wish.seed), best: None };
     }
     let sampled = sampled(wish, limit, limit, &candidates);
     // A refusal needs more proof than a choice.
@@ -166,7 +166,7 @@
 
 /// An endpoint with so much room that its report suffices, among those that are sampled for a
 /// request: it would begin within a part of the latest time.
-pub(super) fn easy(wish: &Wish, part: f64, candidates: &[Candidate]) -> Option<Candidate> {
+pub(super) fn easy(wish: &Requirements, part: f64, candidates: &[Candidate]) -> Option<Candidate> {
     let limit = limit(wish);
     sampled(wish, limit, limit.mul_f64(part), &with_rivals(wish, limit, candidates))
 }
@@ -174,24 +174,24 @@
 /// The best of some near candidates where one has room, else of some of all that would begin
 /// by `latest`.
 fn sampled(
-    wish: &Wish,
+    wish: &Requirements,
     limit: Duration,
     latest: Duration,
     candidates: &[Candidate],
 ) -> Option<Candidate> {
     let near = cheapest(wish, limit.mul_f64(NEAR), &draw_near(wish, candidates));
-    near.or_else(|| cheapest(wish, latest, &draw(wish.spread, candidates, DRAWN)))
+    near.or_else(|| cheapest(wish, latest, &draw(wish.seed, candidates, DRAWN)))
 }
 
 /// Some of the candidates in the gateway's own availability zone.
-fn draw_near(wish: &Wish, candidates: &[Candidate]) -> Vec<Candidate> {
+fn draw_near(wish: &Requirements, candidates: &[Candidate]) -> Vec<Candidate> {
     let near = candidates.iter().filter(|candidate| candidate.distance == Distance::Zone);
-    draw(wish.spread, &near.copied().collect::<Vec<_>>(), DRAWN)
+    draw(wish.seed, &near.copied().collect::<Vec<_>>(), DRAWN)
 }
 
 /// The candidate that costs a request least, of those that are good enough.
 pub(super) fn cheapest<'a>(
-    wish: &Wish,
+    wish: &Requirements,
     limit: Duration,
     candidates: impl IntoIterator<Item = &'a Candidate>,
 ) -> Option<Candidate> {
@@ -204,47 +204,49 @@
 /// Requests of all sizes are held to the wait that others cause: with a limit on the time to
 /// their own first token, large ones would be refused first, and each time they come back. The
 /// time that a request takes by itself counts only against its caller's deadline.
-fn is_good(wish: &Wish, limit: Duration, candidate: &Candidate) -> bool {
-    candidate.forecast.first_of_usual() <= limit && candidate.first() <= wish.deadline
+fn is_good(wish: &Requirements, limit: Duration, candidate: &Candidate) -> bool {
+    candidate.forecast.usual_ttft() <= limit && candidate.ttft() <= wish.time_left
 }
 
 /// What an endpoint costs a request: its time, its way, and some spread.
-fn cost(wish: &Wish, candidate: &Candidate) -> Duration {
-    candidate.first() + detour(wish, candidate)
+fn cost(wish: &Requirements, candidate: &Candidate) -> Duration {
+    candidate.ttft() + detour(wish, candidate)
 }
 
 /// The same for a request with a usual prompt.
-pub(super) fn cost_of_usual(wish: &Wish, candidate: &Candidate) -> Duration {
-    candidate.forecast.first_of_usual() + detour(wish, candidate)
+pub(super) fn cost_of_usual(wish: &Requirements, candidate: &Candidate) -> Duration {
+    candidate.forecast.usual_ttft() + detour(wish, candidate)
 }
 
 /// What an endpoint costs a request besides its time.
-fn detour(wish: &Wish, candidate: &Candidate) -> Duration {
+fn detour(wish: &Requirements, candidate: &Candidate) -> Duration {
     let penalty = match candidate.distance {
         Distance::Zone => Duration::ZERO,
         Distance::Region => REGION_PENALTY,
         Distance::Far => FAR_PENALTY,
     };
-    penalty + jitter(wish.spread, candidate.number)
+    penalty + jitter(wish.seed, candidate.number)
 }
 
 /// The refusal of a request that the best of the candidates would begin too late.
 pub(super) fn refusal<'a>(
-    wish: &Wish,
+    wish: &Requirements,
     limit: Duration,
     candidates: impl IntoIterator<Item = &'a Candidate>,
 ) -> Choice {
     let forecasts = candidates.into_iter().map(|candidate| candidate.forecast);
-    let best = forecasts.min_by_key(Forecast::first_of_usual);
-    let best =
-        best.map(|forecast| Best { forecast, longest_wait: limit.saturating_sub(forecast.usual) });
-    Choice::Refuse { come_back: spread_out(COME_BACK, wish.spread), best }
+    let best = forecasts.min_by_key(Forecast::usual_ttft);
+    let best = best.map(|forecast| BestCandidate {
+        forecast,
+        max_wait: limit.saturating_sub(forecast.usual_prefill),
+    });
+    Choice::Refuse { retry_after: spread_out(COME_BACK, wish.seed), best }
 }
 
 /// When a caller is to come back for whose request there is no endpoint.
-fn none_there(wish: &Wish) -> (Duration, Duration) {
-    let Some(rest) = wish.rest else {
-        return if wish.weightless { WEIGHTLESS } else { NONE_THERE };
+fn none_there(wish: &Requirements) -> (Duration, Duration) {
+    let Some(rest) = wish.backoff_left else {
+        return if wish.weights_missing { WEIGHTLESS } else { NONE_THERE };
     };
     // Those that rest for this gateway may take requests of another one, at which the
     // caller may well come back: it waits no longer than where all are busy.
@@ -257,11 +259,11 @@
 ///
 /// Without this, every gateway would send requests to the same free place under overload, and
 /// all of them would be late.
-fn with_rivals(wish: &Wish, limit: Duration, candidates: &[Candidate]) -> Vec<Candidate> {
+fn with_rivals(wish: &Requirements, limit: Duration, candidates: &[Candidate]) -> Vec<Candidate> {
     let rooms = candidates.iter().filter(|it| is_good(wish, limit, it)).count().max(1);
-    let sent = |age: Duration| wish.rivals * age.as_secs_f64() / rooms as f64;
+    let sent = |age: Duration| wish.competing_rate * age.as_secs_f64() / rooms as f64;
     let by_now = |candidate: &Candidate| {
-        let more = candidate.turn.mul_f64(sent(candidate.age).min(MOST_RIVALS));
+        let more = candidate.service_time.mul_f64(sent(candidate.age).min(MOST_RIVALS));
         let forecast = Forecast { wait: candidate.forecast.wait + more, ..candidate.forecast };
         Candidate { forecast, ..*candidate }
     };
@@ -269,13 +271,13 @@
 }
 
 /// The latest time to a first token with which a request is sent whose prompt is usual.
-pub(super) fn limit(wish: &Wish) -> Duration {
-    let limit = if wish.sent {
-        wish.target.max(PATIENCE)
+pub(super) fn limit(wish: &Requirements) -> Duration {
+    let limit = if wish.sent_before {
+        wish.target_left.max(PATIENCE)
     } else {
-        wish.target.mul_f64(TOLERANCE).max(wish.aim.mul_f64(SPARE))
+        wish.target_left.mul_f64(TOLERANCE).max(wish.ttft_target.mul_f64(SPARE))
     };
-    limit.min(wish.deadline)
+    limit.min(wish.time_left)
 }
 
 /// So many of the candidates, drawn for this request: the first of its own ranking.
--- a/crates/core/src/gateway/reservation.rs
+++ b/crates/core/src/gateway/reservation.rs
@@ -16,7 +16,8 @@
 use std::time::Duration;
 
 use super::pick::{
-    Agent, Candidate, Choice, Wish, cheapest, cost_of_usual, draw, easy, limit, pick, refusal,
+    Agent, Candidate, Choice, Requirements, cheapest, cost_of_usual, draw, easy, limit, pick,
+    refusal,
 };
 use super::tally::Outstanding;
 
@@ -135,10 +136,10 @@
 
     /// What is next, by what is known of the endpoints now; those that have answered are
     /// known by their answers.
-    pub fn next(&mut self, wish: &Wish, candidates: &[Candidate]) -> Step {
+    pub fn next(&mut self, wish: &Requirements, candidates: &[Candidate]) -> Step {
         let heard = heard(candidates);
         let no_agent = candidates.iter().all(|candidate| candidate.agent == Agent::None);
-        if no_agent || (wish.sent && !heard.is_empty()) {
+        if no_agent || (wish.sent_before && !heard.is_empty()) {
             return Step::Done(pick(wish, &heard));
         }
         let limit = limit(wish);
@@ -155,7 +156,12 @@
     }
 
     /// The endpoint that has room, at first by reports and then by answers.
-    fn found(&self, wish: &Wish, limit: Duration, candidates: &[Candidate]) -> Option<Choice> {
+    fn found(
+        &self,
+        wish: &Requirements,
+        limit: Duration,
+        candidates: &[Candidate],
+    ) -> Option<Choice> {
         let found = if self.rounds == 0 {
             easy(wish, EASY, &heard(candidates))
         } else {
@@ -171,12 +177,12 @@
     }
 
     /// The endpoints to be asked next: the best of some that were drawn.
-    fn next_asked(&self, wish: &Wish, candidates: &[Candidate]) -> Vec<usize> {
+    fn next_asked(&self, wish: &Requirements, candidates: &[Candidate]) -> Vec<usize> {
         let left = candidates.iter().filter(|candidate| {
             candidate.agent != Agent::None && !self.asked.contains(&candidate.number)
         });
         let left: Vec<Candidate> = left.copied().collect();
-        let mut drawn = draw(wish.spread, &left, DRAWN);
+        let mut drawn = draw(wish.seed, &left, DRAWN);
         drawn.sort_by_key(|candidate| (cost_of_usual(wish, candidate), candidate.number));
         drawn.truncate(ASKED);
         drawn.iter().map(|candidate| candidate.number).collect()
@@ -184,7 +190,7 @@
 
     /// What is done when no endpoint that was asked has room. Where none has answered,
     /// nothing tells that there is none.
-    fn give_up(&self, wish: &Wish, candidates: &[Candidate]) -> Choice {
+    fn give_up(&self, wish: &Requirements, candidates: &[Candidate]) -> Choice {
         if self.answered(candidates).next().is_some() {
             refusal(wish, limit(wish), self.answered(candidates))
         } else {
@@ -195,5 +201,5 @@
 
 /// The candidates of which something is known without asking.
 fn heard(candidates: &[Candidate]) -> Vec<Candidate> {
-    candidates.iter().filter(|candidate| candidate.agent != Agent::Unheard).copied().collect()
+    candidates.iter().filter(|candidate| candidate.agent != Agent::NotReporting).copied().collect()
 }
--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -10,7 +10,7 @@
 use cinderspoke_core::gateway::health;
 use cinderspoke_core::gateway::load::{self, Forecast, Load, forecast};
 use cinderspoke_core::gateway::name::Endpoint;
-use cinderspoke_core::gateway::pick::{Agent, Best, Candidate, Choice, Wish};
+use cinderspoke_core::gateway::pick::{Agent, BestCandidate, Candidate, Choice, Requirements};
 use cinderspoke_core::gateway::reservation::{Selection, Step};
 use cinderspoke_core::gateway::residency::Residency;
 use cinderspoke_core::gateway::rollout::Version;
@@ -113,7 +113,7 @@
             };
             record.asked(search.queried());
             return match choice {
-                Choice::Send { number, first } => {
+                Choice::Send { number, ttft: first } => {
                     let target = Arc::clone(&members[number].target);
                     target.tracking().sends.add(context.clock.now());
                     let place = settle(places, Some(&target), context);
@@ -130,7 +130,7 @@
                     search = Selection::default();
                     continue;
                 }
-                Choice::Refuse { come_back, best } => {
+                Choice::Refuse { retry_after: come_back, best } => {
                     settle(places, None, context);
                     let barred = self.survey(context, parsed, &view, reach).barred(members);
                     record.found_none(Lack {
@@ -158,7 +158,7 @@
         parsed: &Parsed,
         view: &View,
         reach: Reach,
-    ) -> (Vec<Prospect>, Wish) {
+    ) -> (Vec<Prospect>, Requirements) {
         let survey = self.survey(context, parsed, view, reach);
         let members = view.members(&parsed.service);
         let mut options = survey.options(members, Avoided::LeftOut);
@@ -172,10 +172,11 @@
             let survey = Survey { tried, residency: survey.residency.clone(), ..survey };
             options = survey.options(members, Avoided::Included);
         }
-        let wish = Wish {
-            weightless: survey.engine.is_some() && members.iter().any(|one| survey.is_allowed(one)),
-            rest: survey.backoff_left(members),
-            rivals: context.rivals(&parsed.service, view.gateways),
+        let wish = Requirements {
+            weights_missing: survey.engine.is_some()
+                && members.iter().any(|one| survey.is_allowed(one)),
+            backoff_left: survey.backoff_left(members),
+            competing_rate: context.rivals(&parsed.service, view.gateways),
             ..self.wish(context, parsed)
         };
         (options, wish)
@@ -203,17 +204,17 @@
     }
 
     /// What the request asks of an endpoint now.
-    fn wish(&self, context: &Context, parsed: &Parsed) -> Wish {
+    fn wish(&self, context: &Context, parsed: &Parsed) -> Requirements {
         let waited = parsed.waited + context.clock.now().saturating_sub(parsed.arrived);
-        Wish {
-            aim: parsed.route.target,
-            target: parsed.route.target.saturating_sub(waited),
-            deadline: parsed.deadline.left(),
-            sent: self.history.sends() > 0,
-            weightless: false,
-            rest: None,
-            rivals: 0.0,
-            spread: Key::of(parsed.call.id.as_str()).as_u64(),
+        Requirements {
+            ttft_target: parsed.route.target,
+            target_left: parsed.route.target.saturating_sub(waited),
+            time_left: parsed.deadline.left(),
+            sent_before: self.history.sends() > 0,
+            weights_missing: false,
+            backoff_left: None,
+            competing_rate: 0.0,
+            seed: Key::of(parsed.call.id.as_str()).as_u64(),
         }
     }
 }
@@ -293,7 +294,7 @@
     /// How many could have taken it.
     pub candidates: usize,
     /// Why the best of these is not good enough.
-    pub best: Option<Best>,
+    pub best: Option<BestCandidate>,
 }
 
 /// What one choice looks at.
@@ -380,8 +381,8 @@
         // One whose agent reports to others looks as if it had nothing to do, or stood still.
         let is_heard = tracking.load.report(self.now).is_some();
         let is_beyond = self.engine.is_some() && !is_heard && !member.target.reports_here();
-        let is_away = !is_beyond && tracking.load.is_out_of_reach(self.now);
-        let stands = is_away || tracking.load.is_stuck(self.now);
+        let is_away = !is_beyond && tracking.load.is_unreachable(self.now);
+        let stands = is_away || tracking.load.is_stalled(self.now);
         let avoid = state == health::State::Out || tracking.paused_until > self.now || stands;
         if avoid && avoided == Avoided::LeftOut {
             return None;
@@ -395,27 +396,35 @@
         // Silence from the start tells as little as silence since: an instance that
         // was out of reach before this gateway started has never reported here.
         let report = tracking.load.report(self.now);
-        let (heard, narrow) = (report.is_some(), report.is_none_or(|report| report.narrow));
+        let (heard, narrow) = (report.is_some(), report.is_none_or(|report| report.is_congested));
         let version_left = version.and_then(|version| self.version_left(version, narrow));
         if is_beyond && avoided == Avoided::LeftOut && self.reach == Reach::Subset {
             return None;
         }
         let well = heard && !stands && state == health::State::Well;
         // What is held up on the way may begin long after it was given up.
-        if version_left.is_some_and(|left| !well || left < forecast.first()) {
+        if version_left.is_some_and(|left| !well || left < forecast.ttft()) {
             return None;
         }
         let trial = state == health::State::Trial;
         let age = tracking.load.report_age(self.now).unwrap_or_default();
-        let turn = self.engine.map_or(Duration::ZERO, load::turn);
+        let turn = self.engine.map_or(Duration::ZERO, load::service_time);
         let distance = member.distance;
         let agent = match self.agent(&tracking, heard) {
             _ if is_beyond && self.reach == Reach::All && avoided == Avoided::LeftOut => {
-                Agent::Unheard
+                Agent::NotReporting
             }
             agent => agent,
         };
-        let candidate = Candidate { number, distance, forecast, age, turn, trial, agent };
+        let candidate = Candidate {
+            number,
+            distance,
+            forecast,
+            age,
+            service_time: turn,
+            is_probe: trial,
+            agent,
+        };
         Some(Prospect { candidate, version, version_left })
     }
 
@@ -426,7 +435,7 @@
             return Weights::Any;
         };
         let version = match load.report(self.now) {
-            Some(report) => report.version.filter(|_| report.open),
+            Some(report) => report.version.filter(|_| report.accepts_requests),
             None => {
                 let listed = member.entry.models.iter().find(|(name, _)| name == model);
                 listed.map(|(_, version)| *version)
@@ -441,7 +450,7 @@
         match self.engine {
             Some(engine) => forecast(engine, &estimate, self.parsed.call.size),
             None => {
-                let wait = PLAIN_TURN.saturating_mul(load.own() as u32);
+                let wait = PLAIN_TURN.saturating_mul(load.own_requests() as u32);
                 Forecast { wait, ..Forecast::default() }
             }
         }
@@ -451,10 +460,10 @@
     fn agent(&self, tracking: &Tracking, heard: bool) -> Agent {
         if self.engine.is_none() || !heard || tracking.agent.is_none() {
             Agent::None
-        } else if tracking.load.has_answered(self.now) {
+        } else if tracking.load.has_recent_answer(self.now) {
             Agent::Answered
         } else {
-            Agent::Askable
+            Agent::Queryable
         }
     }
 
--- a/src/cinderspoke/gateway/record.rs
+++ b/src/cinderspoke/gateway/record.rs
@@ -7,7 +7,7 @@
 use cinderspoke_core::gateway::catalog::Engine;
 use cinderspoke_core::gateway::fingerprint::Fingerprint;
 use cinderspoke_core::gateway::name::{Endpoint, Request};
-use cinderspoke_core::gateway::pick::Best;
+use cinderspoke_core::gateway::pick::BestCandidate;
 use cinderspoke_core::gateway::rollout::Version;
 use cinderspoke_core::gateway::size::Class;
 use cinderspoke_ports::gateway::Misfit;
@@ -68,7 +68,7 @@
     // What is usual where it goes; none where it is for no model.
     usual: Option<Size>,
     // Why it was refused, where an endpoint could have taken it.
-    best: Option<Best>,
+    best: Option<BestCandidate>,
     endpoint: Option<Endpoint>,
     // The version that it was last sent for, and how much longer that could begin
     // requests then; none while it was the newest.
@@ -164,7 +164,7 @@
     pub fn found_none(&mut self, lack: Lack) {
         let Lack { members, barred, candidates, best } = lack;
         self.candidates = candidates;
-        self.predicted = best.map(|best| best.forecast.first());
+        self.predicted = best.map(|best| best.forecast.ttft());
         self.best = best;
         tracing::info!(
             id = self.id(),
@@ -179,9 +179,9 @@
             candidates,
             asked = self.asked,
             best_ms = ms(self.predicted),
-            own_ms = ms(best.map(|best| best.forecast.own)),
+            own_ms = ms(best.map(|best| best.forecast.prefill)),
             wait_ms = ms(best.map(|best| best.forecast.wait)),
-            limit_ms = ms(best.map(|best| best.longest_wait)),
+            limit_ms = ms(best.map(|best| best.max_wait)),
             "no endpoint for a request"
         );
     }
@@ -297,9 +297,9 @@
             candidates = self.candidates,
             asked = self.asked,
             predicted_ms = ms(self.predicted),
-            own_ms = ms(self.best.map(|best| best.forecast.own)),
+            own_ms = ms(self.best.map(|best| best.forecast.prefill)),
             wait_ms = ms(self.best.map(|best| best.forecast.wait)),
-            limit_ms = ms(self.best.map(|best| best.longest_wait)),
+            limit_ms = ms(self.best.map(|best| best.max_wait)),
             first_ms = ms(self.first),
             total_ms = self.arrived.elapsed().as_millis() as u64,
             sends = self.sends,
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -53,7 +53,7 @@
         let (prompt, now) = (parsed.call.size.prompt, context.clock.now());
         {
             let load = &mut target.tracking().load;
-            load.sent(number, prompt, chosen.first, now);
+            load.record_sent(number, prompt, chosen.first, now);
             chosen.place.iter().for_each(|place| load.pending.resolve(*place));
         }
         let changes = context.state.outstanding_changes();
@@ -63,7 +63,7 @@
 
     /// Takes in that the answer has begun.
     pub fn begun(&self) {
-        self.target.tracking().load.begun(self.number);
+        self.target.tracking().load.record_first_token(self.number);
         self.changes.add(&self.target);
     }
 
@@ -76,7 +76,7 @@
 
 impl Drop for Sent {
     fn drop(&mut self) {
-        self.target.tracking().load.ended(self.number);
+        self.target.tracking().load.record_end(self.number);
         self.changes.add(&self.target);
     }
 }
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -330,7 +330,7 @@
             (inner.by_address.get(&endpoint).cloned(), inner.cold(&endpoint.0))
         };
         if let Some(target) = target {
-            if let Some(departure) = report.leaving {
+            if let Some(departure) = report.drain {
                 self.told_departure(&target, departure);
             }
             let mut tracking = target.tracking();
@@ -340,9 +340,9 @@
                 // It may have started anew while nothing was heard of it.
                 target.extend_cold(now + cold.duration);
             }
-            tracking.load.reported(report, told, now);
+            tracking.load.apply_report(report, told, now);
             if is_answer {
-                tracking.load.answered(now);
+                tracking.load.record_answer(now);
             }
         }
     }
--- a/src/cinderspoke/gateway/target.rs
+++ b/src/cinderspoke/gateway/target.rs
@@ -92,7 +92,7 @@
 
     /// Whether it has requests of this gateway.
     pub fn has_outstanding(&self) -> bool {
-        self.tracking().load.own() > 0
+        self.tracking().load.own_requests() > 0
     }
 
     /// Leaves the endpoint alone for a while, since it refused a request.
--- a/src/cinderspoke/stager/report.rs
+++ b/src/cinderspoke/stager/report.rs
@@ -184,9 +184,9 @@
     /// What the engine said, with what is known of it beside that.
     fn load(&self, report: &EngineReport, now: Duration) -> Report {
         Report {
-            open: self.is_open(),
-            deaf: self.deaf(now),
-            narrow: self.is_narrow(now),
+            accepts_requests: self.is_open(),
+            last_contact_age: self.deaf(now),
+            is_congested: self.is_narrow(now),
             process: self.process,
             ..report.load.clone()
         }
--- a/tests/testsuite/gateway/load.rs
+++ b/tests/testsuite/gateway/load.rs
@@ -33,15 +33,15 @@
 
 fn report(running: u32, queued: u32) -> Report {
     let version = Some(Version(1));
-    Report { running, queued, pace: 1.0, version, open: true, ..Report::default() }
+    Report { running, queued, slowdown: 1.0, version, accepts_requests: true, ..Report::default() }
 }
 
 #[test]
 fn a_first_token_waits_for_the_prompts_ahead_and_for_a_slot() {
     let first = |running, queued| {
         let mut load = Load::default();
-        load.reported(report(running, queued), ms(0), ms(1000));
-        forecast(&engine(), &load.estimate(Some(&engine()), 7, ms(1000)), SIZE).first()
+        load.apply_report(report(running, queued), ms(0), ms(1000));
+        forecast(&engine(), &load.estimate(Some(&engine()), 7, ms(1000)), SIZE).ttft()
     };
     assert!(first(0, 0) < first(4, 0));
     assert!(first(4, 2) > first(4, 0) + ms(90), "two prompts of 50 ms are ahead");
@@ -53,28 +53,28 @@
 #[test]
 fn what_a_prompt_takes_by_itself_is_told_apart_from_what_others_cause() {
     let forecast = |prompt, pace| {
-        let estimate = Estimate { requests: 8.0, waiting: 2.0, unread: 2000.0, pace };
+        let estimate = Estimate { requests: 8.0, waiting: 2.0, unread: 2000.0, slowdown: pace };
         forecast(&engine(), &estimate, Size { prompt, ..SIZE })
     };
     let (usual, large) = (forecast(1000, 1.0), forecast(4000, 1.0));
-    assert_eq!((large.wait, large.usual), (usual.wait, usual.usual));
-    assert_eq!(usual.first(), usual.first_of_usual());
+    assert_eq!((large.wait, large.usual_prefill), (usual.wait, usual.usual_prefill));
+    assert_eq!(usual.ttft(), usual.usual_ttft());
     // 3,000 tokens more at 20 a millisecond, and 8 million pairs less half a million at 1.2 ms.
-    assert_eq!(large.own - usual.own, ms(150) + ms(9));
+    assert_eq!(large.prefill - usual.prefill, ms(150) + ms(9));
     let slow = forecast(4000, 3.0);
-    assert_eq!((slow.own, slow.usual), (large.own * 3, large.usual * 3));
+    assert_eq!((slow.prefill, slow.usual_prefill), (large.prefill * 3, large.usual_prefill * 3));
 }
 
 #[test]
 fn what_was_sent_since_the_report_counts() {
     let mut load = Load::default();
-    load.reported(report(2, 0), ms(0), ms(1000));
+    load.apply_report(report(2, 0), ms(0), ms(1000));
     let before = load.estimate(Some(&engine()), 7, ms(1001));
-    load.sent(1, 3000, ms(100), ms(1001));
+    load.record_sent(1, 3000, ms(100), ms(1001));
     let after = load.estimate(Some(&engine()), 7, ms(1002));
     assert_eq!(after.requests, before.requests + 1.0);
     assert_eq!(after.unread, before.unread + 3000.0);
-    load.begun(1);
+    load.record_first_token(1);
     assert_eq!(load.estimate(Some(&engine()), 7, ms(1003)).unread, before.unread);
 }
 
@@ -84,8 +84,8 @@
 fn what_other_gateways_have_outstanding_counts_besides_what_was_sent_from_here() {
     let others = Outstanding { requests: 15, waiting: 3, unread: 2500 };
     let mut load = Load::default();
-    load.reported(Report { others, ..report(12, 0) }, ms(0), ms(1000));
-    load.sent(1, 1000, ms(100), ms(990));
+    load.apply_report(Report { others, ..report(12, 0) }, ms(0), ms(1000));
+    load.record_sent(1, 1000, ms(100), ms(990));
     let now = load.estimate(Some(&engine()), 7, ms(990));
     assert_eq!((now.requests, now.waiting, now.unread), (16.0, 4.0, 3500.0));
     assert_eq!(load.report_age(ms(1090)), Some(ms(100)), "what came since is not known here");
@@ -96,8 +96,8 @@
     let first = |requests: u32, waiting| {
         let others = Outstanding { requests, waiting, unread: waiting * 1000 };
         let mut load = Load::default();
-        load.reported(Report { others, ..report(0, 0) }, ms(0), ms(1000));
-        forecast(&engine(), &load.estimate(Some(&engine()), 7, ms(990)), SIZE).first()
+        load.apply_report(Report { others, ..report(0, 0) }, ms(0), ms(1000));
+        forecast(&engine(), &load.estimate(Some(&engine()), 7, ms(990)), SIZE).ttft()
     };
     // 1,000 tokens read in 50 ms, and 90 written in steps of 9.8 ms among 16.
     let (one, two) = (first(18, 4), first(19, 5));
@@ -107,37 +107,37 @@
 #[test]
 fn an_endpoint_whose_agent_falls_silent_is_out_of_reach() {
     let mut load = Load::default();
-    assert!(!load.is_out_of_reach(ms(5000)), "nothing was ever reported");
-    load.reported(report(0, 0), ms(0), ms(1000));
-    assert!(!load.is_out_of_reach(ms(1100)));
-    assert!(load.is_out_of_reach(ms(3000)));
+    assert!(!load.is_unreachable(ms(5000)), "nothing was ever reported");
+    load.apply_report(report(0, 0), ms(0), ms(1000));
+    assert!(!load.is_unreachable(ms(1100)));
+    assert!(load.is_unreachable(ms(3000)));
 }
 
 #[test]
 fn an_endpoint_whose_reports_come_late_is_out_of_reach() {
     let mut load = Load::default();
-    load.reported(report(0, 0), ms(100), ms(1000));
-    load.reported(report(0, 0), ms(200), ms(1500));
-    assert!(load.is_out_of_reach(ms(1501)), "400 ms later than the first");
-    load.reported(report(0, 0), ms(600), ms(1502));
-    assert!(!load.is_out_of_reach(ms(1503)));
+    load.apply_report(report(0, 0), ms(100), ms(1000));
+    load.apply_report(report(0, 0), ms(200), ms(1500));
+    assert!(load.is_unreachable(ms(1501)), "400 ms later than the first");
+    load.apply_report(report(0, 0), ms(600), ms(1502));
+    assert!(!load.is_unreachable(ms(1503)));
 }
 
 #[test]
 fn an_endpoint_that_hears_no_gateway_is_out_of_reach() {
     let mut load = Load::default();
-    load.reported(Report { deaf: ms(900), ..report(0, 0) }, ms(0), ms(1000));
-    assert!(load.is_out_of_reach(ms(1001)));
+    load.apply_report(Report { last_contact_age: ms(900), ..report(0, 0) }, ms(0), ms(1000));
+    assert!(load.is_unreachable(ms(1001)));
 }
 
 #[test]
 fn an_endpoint_with_a_request_that_does_not_begin_is_stuck() {
     let mut load = Load::default();
-    load.sent(1, 1000, ms(100), ms(1000));
-    assert!(!load.is_stuck(ms(1200)));
-    assert!(load.is_stuck(ms(1600)));
-    load.begun(1);
-    assert!(!load.is_stuck(ms(1700)));
+    load.record_sent(1, 1000, ms(100), ms(1000));
+    assert!(!load.is_stalled(ms(1200)));
+    assert!(load.is_stalled(ms(1600)));
+    load.record_first_token(1);
+    assert!(!load.is_stalled(ms(1700)));
 }
 
 // A large request at an engine that is slower than it says takes longer than expected by more
@@ -145,9 +145,9 @@
 #[test]
 fn an_endpoint_is_not_stuck_by_a_request_that_was_expected_to_take_long() {
     let mut load = Load::default();
-    load.sent(1, 8000, ms(1000), ms(1000));
-    assert!(!load.is_stuck(ms(2900)), "twice what was expected");
-    assert!(load.is_stuck(ms(3100)));
+    load.record_sent(1, 8000, ms(1000), ms(1000));
+    assert!(!load.is_stalled(ms(2900)), "twice what was expected");
+    assert!(load.is_stalled(ms(3100)));
 }
 
 #[test]
@@ -157,15 +157,15 @@
     for lived in [300, 5000, 60_000] {
         let mut load = Load::default();
         let from = |process| Report { process, ..report(1, 0) };
-        load.reported(from(1), ms(0), ms(1000));
-        load.reported(from(1), ms(lived), ms(1000 + lived));
-        assert!(!load.is_out_of_reach(ms(1000 + lived)));
+        load.apply_report(from(1), ms(0), ms(1000));
+        load.apply_report(from(1), ms(lived), ms(1000 + lived));
+        assert!(!load.is_unreachable(ms(1000 + lived)));
         let again = 1500 + lived;
         for told in [0, 100, 200] {
-            load.reported(from(2), ms(told), ms(again + told));
+            load.apply_report(from(2), ms(told), ms(again + told));
         }
-        assert!(!load.is_out_of_reach(ms(again + 200)), "after {lived} ms of life");
-        load.reported(from(2), ms(300), ms(again + 300 + 200));
-        assert!(load.is_out_of_reach(ms(again + 500)), "a late report still tells of a full link");
+        assert!(!load.is_unreachable(ms(again + 200)), "after {lived} ms of life");
+        load.apply_report(from(2), ms(300), ms(again + 300 + 200));
+        assert!(load.is_unreachable(ms(again + 500)), "a late report still tells of a full link");
     }
 }
--- a/tests/testsuite/gateway/overload/world.rs
+++ b/tests/testsuite/gateway/overload/world.rs
@@ -8,8 +8,8 @@
 
 use cinderspoke_core::gateway::call::Size;
 use cinderspoke_core::gateway::demand::Demand;
-use cinderspoke_core::gateway::load::{Load, Report, forecast, turn};
-use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish, pick};
+use cinderspoke_core::gateway::load::{Load, Report, forecast, service_time};
+use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Requirements, pick};
 use cinderspoke_core::gateway::reservation::{Selection, Step, Table};
 use cinderspoke_core::gateway::rollout::Version;
 use cinderspoke_core::gateway::rotation::scheduled;
@@ -199,7 +199,7 @@
             Event::PassEnds(engine) => self.end_pass(engine),
             Event::Look { engine, tick } => self.look(engine, tick),
             Event::Report { gateway, engine, report, told } => {
-                self.loads[gateway][engine].reported(report, told, self.now);
+                self.loads[gateway][engine].apply_report(report, told, self.now);
             }
             Event::Tell { gateway, engine } => self.tell(gateway, engine),
             Event::Told { gateway, engine, outstanding, at, before } => {
@@ -245,7 +245,7 @@
             }
             Rule::Anyone => {
                 let number = self.random.random_range(0..self.fleet.engines);
-                self.follow(caller, gateway, Choice::Send { number, first: Duration::ZERO });
+                self.follow(caller, gateway, Choice::Send { number, ttft: Duration::ZERO });
             }
         }
     }
@@ -303,8 +303,8 @@
 
     fn take_answer(&mut self, seeker: usize, engine: usize, report: Report, told: Duration) {
         let load = &mut self.loads[self.seekers[seeker].gateway][engine];
-        load.reported(report, told, self.now);
-        load.answered(self.now);
+        load.apply_report(report, told, self.now);
+        load.record_answer(self.now);
         let asking = &mut self.seekers[seeker];
         if asking.missing > 0 && asking.asked.contains(&engine) {
             asking.missing -= 1;
@@ -323,9 +323,9 @@
         let version = Some(Version(1));
         Report {
             running,
-            pace: self.faults.pace(engine) as f32,
+            slowdown: self.faults.pace(engine) as f32,
             version,
-            open: true,
+            accepts_requests: true,
             others,
             ..Report::default()
         }
@@ -353,12 +353,12 @@
                 size,
             ),
             age: load.report_age(now).unwrap_or_default(),
-            turn: turn(&engine),
-            trial: false,
-            agent: match (load.report(now), load.has_answered(now)) {
+            service_time: service_time(&engine),
+            is_probe: false,
+            agent: match (load.report(now), load.has_recent_answer(now)) {
                 (None, _) => Agent::None,
                 (_, true) => Agent::Answered,
-                _ => Agent::Askable,
+                _ => Agent::Queryable,
             },
         };
         self.loads[gateway].iter().enumerate().map(candidate).collect()
@@ -368,19 +368,19 @@
         Size { prompt: self.callers[caller].prompt as u32, max_answer: 200, answer_hint: None }
     }
 
-    fn wish(&self, gateway: usize, caller: usize, spread: u64) -> Wish {
+    fn wish(&self, gateway: usize, caller: usize, spread: u64) -> Requirements {
         let waited = self.now - self.callers[caller].asked;
         let others = (self.fleet.gateways - 1) as f64;
         let aim = self.aim(caller);
-        Wish {
-            aim,
-            target: aim.saturating_sub(waited),
-            deadline: DEADLINE.saturating_sub(waited),
-            sent: self.rule == Rule::Everybody,
-            rest: None,
-            weightless: false,
-            rivals: self.demands[gateway].per_second(self.now) * others,
-            spread,
+        Requirements {
+            ttft_target: aim,
+            target_left: aim.saturating_sub(waited),
+            time_left: DEADLINE.saturating_sub(waited),
+            sent_before: self.rule == Rule::Everybody,
+            backoff_left: None,
+            weights_missing: false,
+            competing_rate: self.demands[gateway].per_second(self.now) * others,
+            seed: spread,
         }
     }
 
@@ -390,8 +390,8 @@
 
     fn follow(&mut self, caller: usize, gateway: usize, choice: Choice) {
         match choice {
-            Choice::Send { number, first } => self.send(caller, gateway, number, first),
-            Choice::Refuse { come_back, .. } => {
+            Choice::Send { number, ttft: first } => self.send(caller, gateway, number, first),
+            Choice::Refuse { retry_after: come_back, .. } => {
                 let waited = self.now - self.callers[caller].asked;
                 // Callers come back once; one that did has waited for longer than its aim.
                 if waited < self.aim(caller) {
@@ -405,7 +405,7 @@
     fn send(&mut self, caller: usize, gateway: usize, engine: usize, first: Duration) {
         let number = self.number();
         let Caller { prompt, answer, .. } = self.callers[caller];
-        self.loads[gateway][engine].sent(number, prompt as u32, first, self.now);
+        self.loads[gateway][engine].record_sent(number, prompt as u32, first, self.now);
         let job = Job { caller, gateway, number, prompt, left: answer };
         self.push(self.now + way(gateway, engine), Event::Arrive { engine, job });
         self.gather(gateway, engine);
@@ -437,11 +437,11 @@
         let passed = self.engines[engine].end();
         for (caller, gateway, number) in passed.begun {
             self.callers[caller].begun = Some(self.now + way(gateway, engine));
-            self.loads[gateway][engine].begun(number);
+            self.loads[gateway][engine].record_first_token(number);
             self.gather(gateway, engine);
         }
         for (gateway, number) in passed.ended {
-            self.loads[gateway][engine].ended(number);
+            self.loads[gateway][engine].record_end(number);
             self.gather(gateway, engine);
         }
         self.begin_pass(engine);
--- a/tests/testsuite/gateway/pick.rs
+++ b/tests/testsuite/gateway/pick.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::load::Forecast;
-use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish, pick};
+use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Requirements, pick};
 use cinderspoke_core::swarm::Distance;
 
 use super::ms;
@@ -12,27 +12,27 @@
 fn candidate(number: usize, first: Duration, distance: Distance) -> Candidate {
     let (age, turn, agent) = (ms(50), ms(80), Agent::None);
     let forecast = Forecast { wait: first, ..Forecast::default() };
-    Candidate { number, distance, forecast, age, turn, trial: false, agent }
+    Candidate { number, distance, forecast, age, service_time: turn, is_probe: false, agent }
 }
 
 /// A request that comes so long after its caller's first attempt.
-fn wish(waited: Duration) -> Wish {
+fn wish(waited: Duration) -> Requirements {
     let (aim, deadline) = (ms(400), ms(6000));
     let target = aim.saturating_sub(waited);
     let deadline = deadline - waited;
-    Wish {
-        aim,
-        target,
-        deadline,
-        sent: false,
-        weightless: false,
-        rest: None,
-        rivals: 0.0,
-        spread: 7,
+    Requirements {
+        ttft_target: aim,
+        target_left: target,
+        time_left: deadline,
+        sent_before: false,
+        weights_missing: false,
+        backoff_left: None,
+        competing_rate: 0.0,
+        seed: 7,
     }
 }
 
-fn is_sent(wish: &Wish, first: Duration) -> bool {
+fn is_sent(wish: &Requirements, first: Duration) -> bool {
     let only = [candidate(0, first, Distance::Zone)];
     matches!(pick(wish, &only), Choice::Send { .. })
 }
@@ -44,7 +44,7 @@
         candidate(1, ms(100), Distance::Far),
         candidate(2, ms(100), Distance::Zone),
     ];
-    assert_eq!(pick(&wish(ms(0)), &candidates), Choice::Send { number: 2, first: ms(100) });
+    assert_eq!(pick(&wish(ms(0)), &candidates), Choice::Send { number: 2, ttft: ms(100) });
 }
 
 #[test]
@@ -66,10 +66,10 @@
 // to come back sooner is refused again.
 #[test]
 fn who_finds_no_weights_comes_back_when_they_may_be_there() {
-    let come_back = |weightless, spread| {
-        let wish = Wish { weightless, spread, ..wish(ms(0)) };
+    let come_back = |weights_missing, spread| {
+        let wish = Requirements { weights_missing, seed: spread, ..wish(ms(0)) };
         match pick(&wish, &[]) {
-            Choice::Refuse { come_back, best: None } => come_back,
+            Choice::Refuse { retry_after: come_back, best: None } => come_back,
             choice => panic!("{choice:?}"),
         }
     };
@@ -84,7 +84,7 @@
 #[test]
 fn who_cannot_begin_before_its_caller_leaves_is_refused() {
     let is_sent = |own: u64| {
-        let forecast = Forecast { wait: ms(100), own: ms(own), usual: ms(50) };
+        let forecast = Forecast { wait: ms(100), prefill: ms(own), usual_prefill: ms(50) };
         let only = [Candidate { forecast, ..candidate(0, ms(0), Distance::Zone) }];
         matches!(pick(&wish(ms(0)), &only), Choice::Send { .. })
     };
@@ -95,7 +95,7 @@
 // A caller that is refused for its size once is refused each time that it comes back.
 #[test]
 fn who_comes_back_with_a_long_prompt_finds_an_endpoint_that_is_free() {
-    let forecast = Forecast { wait: ms(20), own: ms(800), usual: ms(50) };
+    let forecast = Forecast { wait: ms(20), prefill: ms(800), usual_prefill: ms(50) };
     let free = [Candidate { forecast, ..candidate(0, ms(0), Distance::Zone) }];
     assert!(matches!(pick(&wish(ms(1500)), &free), Choice::Send { .. }));
 }
@@ -108,7 +108,7 @@
 
 #[test]
 fn who_was_sent_before_is_not_refused_for_being_late() {
-    let sent = Wish { sent: true, ..wish(ms(1500)) };
+    let sent = Requirements { sent_before: true, ..wish(ms(1500)) };
     assert!(is_sent(&sent, ms(900)));
     assert!(!is_sent(&sent, ms(5000)), "its caller would have left");
 }
@@ -120,7 +120,9 @@
         (0..40).map(|number| candidate(number, ms(100 + number as u64), Distance::Zone)).collect();
     let mut chosen = BTreeSet::new();
     for spread in 0..100 {
-        let Choice::Send { number, .. } = pick(&Wish { spread, ..wish(ms(0)) }, &candidates) else {
+        let Choice::Send { number, .. } =
+            pick(&Requirements { seed: spread, ..wish(ms(0)) }, &candidates)
+        else {
             panic!("refused");
         };
         chosen.insert(number);
@@ -134,7 +136,7 @@
 fn a_place_that_others_will_have_taken_by_now_is_none() {
     let told = |age| Candidate { age, ..candidate(0, ms(200), Distance::Zone) };
     let among = |rivals, age| {
-        let wish = Wish { rivals, ..wish(ms(0)) };
+        let wish = Requirements { competing_rate: rivals, ..wish(ms(0)) };
         matches!(pick(&wish, &[told(age)]), Choice::Send { .. })
     };
     assert!(among(200.0, ms(0)), "it has just been told");
@@ -144,7 +146,7 @@
 
 #[test]
 fn rivals_share_out_among_all_places() {
-    let wish = Wish { rivals: 60.0, ..wish(ms(0)) };
+    let wish = Requirements { competing_rate: 60.0, ..wish(ms(0)) };
     let candidates = |count| {
         (0..count).map(|number| candidate(number, ms(200), Distance::Zone)).collect::<Vec<_>>()
     };
@@ -158,8 +160,8 @@
         (0..40).map(|number| candidate(number, ms(2000), Distance::Zone)).collect();
     candidates[17].forecast.wait = ms(50);
     for spread in 0..100 {
-        let choice = pick(&Wish { spread, ..wish(ms(0)) }, &candidates);
-        assert_eq!(choice, Choice::Send { number: 17, first: ms(50) });
+        let choice = pick(&Requirements { seed: spread, ..wish(ms(0)) }, &candidates);
+        assert_eq!(choice, Choice::Send { number: 17, ttft: ms(50) });
     }
 }
 
@@ -176,8 +178,13 @@
 ) {
     let mut times = BTreeSet::new();
     for spread in 0..64 {
-        let wish = Wish { rest: Some(left), weightless: true, spread: spread * 16, ..wish(ms(0)) };
-        let Choice::Refuse { come_back, best: None } = pick(&wish, &[]) else {
+        let wish = Requirements {
+            backoff_left: Some(left),
+            weights_missing: true,
+            seed: spread * 16,
+            ..wish(ms(0))
+        };
+        let Choice::Refuse { retry_after: come_back, best: None } = pick(&wish, &[]) else {
             panic!("there is none to send to")
         };
         assert!(come_back >= least && come_back <= most, "{come_back:?}");
--- a/tests/testsuite/gateway/reservation.rs
+++ b/tests/testsuite/gateway/reservation.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::load::Forecast;
-use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish};
+use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Requirements};
 use cinderspoke_core::gateway::reservation::{Pending, Selection, Step, Table};
 use cinderspoke_core::gateway::tally::Outstanding;
 use cinderspoke_core::swarm::Distance;
@@ -189,19 +189,27 @@
 fn candidate(number: usize, first: Duration, agent: Agent) -> Candidate {
     let (distance, turn) = (Distance::Zone, ms(80));
     let forecast = Forecast { wait: first, ..Forecast::default() };
-    Candidate { number, distance, forecast, age: ms(20), turn, trial: false, agent }
+    Candidate {
+        number,
+        distance,
+        forecast,
+        age: ms(20),
+        service_time: turn,
+        is_probe: false,
+        agent,
+    }
 }
 
-fn wish() -> Wish {
-    Wish {
-        aim: ms(400),
-        target: ms(400),
-        deadline: ms(6000),
-        sent: false,
-        weightless: false,
-        rest: None,
-        rivals: 0.0,
-        spread: 7,
+fn wish() -> Requirements {
+    Requirements {
+        ttft_target: ms(400),
+        target_left: ms(400),
+        time_left: ms(6000),
+        sent_before: false,
+        weights_missing: false,
+        backoff_left: None,
+        competing_rate: 0.0,
+        seed: 7,
     }
 }
 
@@ -216,27 +224,27 @@
 
 #[test]
 fn while_endpoints_have_room_nobody_is_asked() {
-    let step = Selection::default().next(&wish(), &all(20, ms(150), Agent::Askable));
+    let step = Selection::default().next(&wish(), &all(20, ms(150), Agent::Queryable));
     assert!(matches!(step, Step::Done(Choice::Send { .. })), "{step:?}");
 }
 
 #[test]
 fn under_load_some_are_asked_and_the_one_that_begins_first_gets_the_request() {
     let mut search = Selection::default();
-    let mut candidates = all(20, ms(300), Agent::Askable);
+    let mut candidates = all(20, ms(300), Agent::Queryable);
     let Step::Query(asked) = search.next(&wish(), &candidates) else { panic!("some are asked") };
     assert_eq!(asked.len(), 3);
     for (number, first) in asked.iter().zip([ms(340), ms(200), ms(500)]) {
         candidates[*number] = candidate(*number, first, Agent::Answered);
     }
-    let sent = Step::Done(Choice::Send { number: asked[1], first: ms(200) });
+    let sent = Step::Done(Choice::Send { number: asked[1], ttft: ms(200) });
     assert_eq!(search.next(&wish(), &candidates), sent);
 }
 
 #[test]
 fn a_request_is_refused_once_two_rounds_of_answers_say_that_there_is_no_room() {
     let mut search = Selection::default();
-    let mut candidates = all(20, ms(300), Agent::Askable);
+    let mut candidates = all(20, ms(300), Agent::Queryable);
     let mut asked = Vec::new();
     for _ in 0..2 {
         let Step::Query(numbers) = search.next(&wish(), &candidates) else { panic!("some are") };
@@ -253,7 +261,7 @@
 #[test]
 fn where_no_agent_answers_reports_decide() {
     let mut search = Selection::default();
-    let candidates = all(20, ms(300), Agent::Askable);
+    let candidates = all(20, ms(300), Agent::Queryable);
     for _ in 0..2 {
         assert!(matches!(search.next(&wish(), &candidates), Step::Query(_)));
     }
@@ -263,8 +271,8 @@
 
 #[test]
 fn what_was_sent_before_or_has_no_agent_goes_by_reports_at_once() {
-    let again = Wish { sent: true, ..wish() };
-    let step = Selection::default().next(&again, &all(20, ms(300), Agent::Askable));
+    let again = Requirements { sent_before: true, ..wish() };
+    let step = Selection::default().next(&again, &all(20, ms(300), Agent::Queryable));
     assert!(matches!(step, Step::Done(Choice::Send { .. })), "{step:?}");
     let step = Selection::default().next(&wish(), &all(20, ms(300), Agent::None));
     assert!(matches!(step, Step::Done(Choice::Send { .. })), "{step:?}");
@@ -272,10 +280,10 @@
 
 #[test]
 fn different_requests_ask_different_endpoints() {
-    let candidates = all(45, ms(300), Agent::Askable);
+    let candidates = all(45, ms(300), Agent::Queryable);
     let mut asked = std::collections::BTreeSet::new();
     for spread in 0..60 {
-        let wish = Wish { spread, ..wish() };
+        let wish = Requirements { seed: spread, ..wish() };
         let Step::Query(numbers) = Selection::default().next(&wish, &candidates) else { panic!() };
         asked.extend(numbers);
     }
@@ -287,8 +295,8 @@
 #[test]
 fn an_engine_whose_agent_does_not_report_here_is_asked_before_it_gets_a_request() {
     let mut search = Selection::default();
-    let mut candidates = all(4, ms(900), Agent::Askable);
-    candidates.extend((4..20).map(|number| candidate(number, ms(20), Agent::Unheard)));
+    let mut candidates = all(4, ms(900), Agent::Queryable);
+    candidates.extend((4..20).map(|number| candidate(number, ms(20), Agent::NotReporting)));
     let Step::Query(asked) = search.next(&wish(), &candidates) else { panic!("some are asked") };
     assert!(asked.iter().any(|number| *number >= 4), "{asked:?}");
     for number in &asked {
@@ -296,7 +304,7 @@
     }
     let chosen = *asked.last().unwrap();
     candidates[chosen] = candidate(chosen, ms(60), Agent::Answered);
-    let sent = Step::Done(Choice::Send { number: chosen, first: ms(60) });
+    let sent = Step::Done(Choice::Send { number: chosen, ttft: ms(60) });
     assert_eq!(search.next(&wish(), &candidates), sent);
 }
 
@@ -304,7 +312,7 @@
 #[test]
 fn where_no_agent_answers_only_engines_of_which_something_is_known_get_a_request() {
     let mut search = Selection::default();
-    let unheard = all(9, ms(20), Agent::Unheard);
+    let unheard = all(9, ms(20), Agent::NotReporting);
     let mut step = search.next(&wish(), &unheard);
     while matches!(step, Step::Query(_)) {
         step = search.next(&wish(), &unheard);
--- a/tests/testsuite/gateway/size_fairness.rs
+++ b/tests/testsuite/gateway/size_fairness.rs
@@ -2,8 +2,8 @@
 
 use cinderspoke_core::gateway::call::Size;
 use cinderspoke_core::gateway::catalog::Engine;
-use cinderspoke_core::gateway::load::{Estimate, forecast, turn};
-use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Wish, pick};
+use cinderspoke_core::gateway::load::{Estimate, forecast, service_time};
+use cinderspoke_core::gateway::pick::{Agent, Candidate, Choice, Requirements, pick};
 use cinderspoke_core::gateway::reservation::{Selection, Step};
 use cinderspoke_core::swarm::Distance;
 use proptest::collection::vec;
@@ -40,26 +40,26 @@
         |(load, waiting, prompt, pace)| {
             let requests = (load * f64::from(engine().slots)).floor();
             let waiting = (requests * waiting).floor();
-            Estimate { requests, waiting, unread: waiting * prompt, pace }
+            Estimate { requests, waiting, unread: waiting * prompt, slowdown: pace }
         },
     )
 }
 
 /// What callers ask but for the size: first attempts and later ones.
-fn wishes() -> impl Strategy<Value = Wish> {
+fn wishes() -> impl Strategy<Value = Requirements> {
     let waited = (any::<bool>(), 0..4000_u64);
     (100..1000_u64, waited, 0.0..300.0_f64, any::<u64>(), any::<bool>()).prop_map(
         |(aim, (returns, waited), rivals, spread, sent)| {
             let waited = if returns { waited } else { 0 };
-            Wish {
-                aim: ms(aim),
-                target: ms(aim.saturating_sub(waited)),
-                deadline: ms(6000 - waited),
-                sent,
-                weightless: false,
-                rest: None,
-                rivals,
-                spread,
+            Requirements {
+                ttft_target: ms(aim),
+                target_left: ms(aim.saturating_sub(waited)),
+                time_left: ms(6000 - waited),
+                sent_before: sent,
+                weights_missing: false,
+                backoff_left: None,
+                competing_rate: rivals,
+                seed: spread,
             }
         },
     )
@@ -75,22 +75,22 @@
         distance: Distance::Zone,
         forecast: forecast(&engine(), estimate, size(prompt)),
         age: ms(40),
-        turn: turn(&engine()),
-        trial: false,
+        service_time: service_time(&engine()),
+        is_probe: false,
         agent,
     };
     estimates.iter().enumerate().map(candidate).collect()
 }
 
 /// Whether a request is sent by what reports say.
-fn is_sent(wish: &Wish, estimates: &[Estimate], prompt: u32) -> bool {
+fn is_sent(wish: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
     let candidates = candidates(estimates, prompt, Agent::None);
     matches!(pick(wish, &candidates), Choice::Send { .. })
 }
 
 /// Whether a request is sent by what agents answer.
-fn is_sent_by_answers(wish: &Wish, estimates: &[Estimate], prompt: u32) -> bool {
-    let mut candidates = candidates(estimates, prompt, Agent::Askable);
+fn is_sent_by_answers(wish: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
+    let mut candidates = candidates(estimates, prompt, Agent::Queryable);
     let mut search = Selection::default();
     loop {
         match search.next(wish, &candidates) {
@@ -104,11 +104,12 @@
 
 /// Whether a request can begin before its caller needs no answer any more, wherever it is sent
 /// and whatever other gateways send there meanwhile.
-fn can_begin(wish: &Wish, estimates: &[Estimate], prompt: u32) -> bool {
+fn can_begin(wish: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
     let candidates = candidates(estimates, prompt, Agent::None);
-    let meanwhile =
-        |candidate: &Candidate| candidate.turn.mul_f64(wish.rivals * candidate.age.as_secs_f64());
-    candidates.iter().all(|it| it.forecast.first() + meanwhile(it) <= wish.deadline)
+    let meanwhile = |candidate: &Candidate| {
+        candidate.service_time.mul_f64(wish.competing_rate * candidate.age.as_secs_f64())
+    };
+    candidates.iter().all(|it| it.forecast.ttft() + meanwhile(it) <= wish.time_left)
 }
 
 /// The same cases each time, and no file of those that failed.
--- a/tests/testsuite/stagers.rs
+++ b/tests/testsuite/stagers.rs
@@ -307,7 +307,7 @@
     let Datagram::Report { report, .. } = receive(&gateway, &mut buffer()).await else {
         panic!("no report came");
     };
-    assert!(report.deaf >= Duration::from_secs(2), "{:?}", report.deaf);
+    assert!(report.last_contact_age >= Duration::from_secs(2), "{:?}", report.last_contact_age);
 }
 
 // The next gateway that asks must not take the same place; one that has decided holds none.
