--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -22,7 +22,7 @@
 
 /// How a request at an endpoint ended, as far as it tells of the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum Observation {
     /// It answered as it should.
     Good,
     /// It answered with a failure of its own.
@@ -37,11 +37,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// It may.
-    Well,
+    Healthy,
     /// One request may find out.
-    Trial,
+    ProbeDue,
     /// It may not.
-    Out,
+    Ejected,
 }
 
 /// What is known of one endpoint's health.
@@ -58,11 +58,11 @@
 
 impl Health {
     /// Takes in how a request ended; true when the endpoint is left out by it.
-    pub fn record(&mut self, sign: Sign, now: Duration) -> bool {
-        let bad = if sign == Sign::Good { 0.0 } else { 1.0 };
+    pub fn record(&mut self, sign: Observation, now: Duration) -> bool {
+        let bad = if sign == Observation::Good { 0.0 } else { 1.0 };
         self.rate += NEWEST * (bad - self.rate);
         self.samples = self.samples.saturating_add(1);
-        if sign == Sign::Good {
+        if sign == Observation::Good {
             if self.trying.is_some() || self.out_until.is_some() {
                 *self = Self { trips: self.trips, ..Self::default() };
             }
@@ -72,12 +72,12 @@
             }
             return false;
         }
-        if sign == Sign::Silence {
+        if sign == Observation::Silence {
             self.streak += 1;
         }
         let tried = self.trying.take().is_some();
         let out = tried
-            || sign == Sign::Stall
+            || sign == Observation::Stall
             || self.streak >= STREAK
             || (self.samples >= SAMPLES && self.rate > RATE);
         if out {
@@ -95,17 +95,17 @@
     #[must_use]
     pub fn state(&self, now: Duration) -> State {
         match self.out_until {
-            Some(until) if now < until => State::Out,
+            Some(until) if now < until => State::Ejected,
             // A trial that brought no word is given up like a new one.
-            Some(_) if self.trying.is_some_and(|since| now < since + FIRST) => State::Out,
-            Some(_) => State::Trial,
-            None => State::Well,
+            Some(_) if self.trying.is_some_and(|since| now < since + FIRST) => State::Ejected,
+            Some(_) => State::ProbeDue,
+            None => State::Healthy,
         }
     }
 
     /// Takes in that a request was sent to find out.
-    pub fn try_out(&mut self, now: Duration) {
-        if self.state(now) == State::Trial {
+    pub fn start_probe(&mut self, now: Duration) {
+        if self.state(now) == State::ProbeDue {
             self.trying = Some(now);
         }
     }
--- a/crates/core/src/gateway/link.rs
+++ b/crates/core/src/gateway/link.rs
@@ -8,7 +8,7 @@
 
 /// A chunk that takes longer than this, its wait at the peer among it, tells of a
 /// link that carries less than it should.
-pub const SLOW: Duration = Duration::from_millis(600);
+pub const SLOW_CHUNK: Duration = Duration::from_millis(600);
 
 /// What a single chunk request indicates about the link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Updates the state of the link from the outcome of a chunk request.
     pub fn observe(&mut self, observation: Observation, now: Duration) {
         let is_slow = match observation {
-            Observation::ResponseTime(time) => time > SLOW,
+            Observation::ResponseTime(time) => time > SLOW_CHUNK,
             Observation::NoResponse => true,
             Observation::Inconclusive => false,
         };
@@ -43,7 +43,7 @@
 
     /// Whether what goes over it may be held up for seconds.
     #[must_use]
-    pub fn is_narrow(&self, now: Duration) -> bool {
+    pub fn is_congested(&self, now: Duration) -> bool {
         self.slow.is_some_and(|slow| now < slow + REMEMBERED)
     }
 }
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -18,7 +18,7 @@
 
 /// A report older than this says nothing: agents ask their engines ten times a
 /// second and tell each gateway at least every third time, and a report may be lost.
-pub const FRESH: Duration = Duration::from_millis(700);
+pub const MAX_REPORT_AGE: Duration = Duration::from_millis(700);
 
 /// How late a first token may be at least before its endpoint is taken to stand still.
 const STUCK: Duration = Duration::from_millis(400);
@@ -149,7 +149,7 @@
     #[must_use]
     pub fn report(&self, now: Duration) -> Option<&Report> {
         let (at, report) = self.report.as_ref()?;
-        (at.saturating_add(FRESH) >= now).then_some(report)
+        (at.saturating_add(MAX_REPORT_AGE) >= now).then_some(report)
     }
 
     /// How old the last report is; none where there is none that is fresh.
--- a/crates/core/src/gateway/rotation.rs
+++ b/crates/core/src/gateway/rotation.rs
@@ -8,7 +8,7 @@
 /// turns.
 const TOLD_AT_ONCE: usize = 14;
 
-/// The most turns: a report is [fresh](super::load::FRESH) for twice as long, so
+/// The most turns: a report is [fresh](super::load::MAX_REPORT_AGE) for twice as long, so
 /// one may be lost.
 const MOST_TURNS: usize = 3;
 
--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -8,9 +8,9 @@
 //! them. Engines beyond the subset are asked when one of it has no room.
 //!
 //! With `G` gateways and `E` engines in a region a gateway receives the reports of at most
-//! [`NEAR`] engines of its region (more only where `G` is far below `E`), an agent reports to
-//! some `NEAR * G / E` of its gateways, and over a link to another region go the reports for
-//! [`FAR_TOLD`] pairs of an engine and a gateway, or [`LEAST_FAR`] for each gateway.
+//! [`OWN_REGION_ENGINES`] engines of its region (more only where `G` is far below `E`), an agent reports to
+//! some `OWN_REGION_ENGINES * G / E` of its gateways, and over a link to another region go the reports for
+//! [`CROSS_REGION_PAIRS`] pairs of an engine and a gateway, or [`MIN_OTHER_REGION_ENGINES`] for each gateway.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -22,20 +22,20 @@
 
 /// How many engines of its own region a gateway has reports of: enough for some to have room
 /// while half of them change their weights, few enough that a kept connection is used again.
-pub const NEAR: usize = 32;
+pub const OWN_REGION_ENGINES: usize = 32;
 
 /// How many gateways of its own region an engine is reported to on average, at least.
 const LEAST_TOLD: usize = 8;
 
 /// How many pairs of an engine and a gateway of another region are told of each other over one
 /// link between two regions.
-pub const FAR_TOLD: usize = 450;
+pub const CROSS_REGION_PAIRS: usize = 450;
 
 /// How many engines of each other region a gateway has reports of, at least.
-pub const LEAST_FAR: usize = 4;
+pub const MIN_OTHER_REGION_ENGINES: usize = 4;
 
 /// How often a gateway says that it wants an agent's reports.
-pub const RENEWAL: Duration = Duration::from_millis(500);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long an agent reports to a gateway that says nothing more. Long, so that one behind a
 /// link that is cut has reports as soon as the cut ends.
@@ -44,20 +44,20 @@
 /// How many engines of its own region a gateway subscribes to, where there are so many engines
 /// and gateways in it.
 #[must_use]
-pub fn near(engines: usize, gateways: usize) -> usize {
-    NEAR.max((LEAST_TOLD * engines).div_ceil(gateways.max(1))).min(engines)
+pub fn own_region_count(engines: usize, gateways: usize) -> usize {
+    OWN_REGION_ENGINES.max((LEAST_TOLD * engines).div_ceil(gateways.max(1))).min(engines)
 }
 
 /// How many engines of one other region a gateway subscribes to, where there are so many
 /// gateways in its own.
 #[must_use]
-pub fn far(gateways: usize) -> usize {
-    LEAST_FAR.max(FAR_TOLD / gateways.max(1))
+pub fn other_region_count(gateways: usize) -> usize {
+    MIN_OTHER_REGION_ENGINES.max(CROSS_REGION_PAIRS / gateways.max(1))
 }
 
 /// The first of some engines in a gateway's own ranking, by their addresses.
 #[must_use]
-pub fn first(gateway: Key, mut engines: Vec<SocketAddr>, count: usize) -> Vec<SocketAddr> {
+pub fn top_ranked(gateway: Key, mut engines: Vec<SocketAddr>, count: usize) -> Vec<SocketAddr> {
     if engines.len() > count {
         let rank = |engine: &SocketAddr| Reverse(weight(gateway, Key::of_address(*engine)));
         engines.sort_by_cached_key(rank);
--- a/crates/core/src/gateway/tally.rs
+++ b/crates/core/src/gateway/tally.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How often a gateway tells of what it has outstanding, changed or not.
-pub const REPEAT: Duration = Duration::from_millis(400);
+pub const REPEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long what a gateway told counts: two repeats may be lost on the way.
 const KEPT: Duration = Duration::from_millis(1300);
--- a/src/cinderspoke/gateway/answer.rs
+++ b/src/cinderspoke/gateway/answer.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use cinderspoke_core::gateway::attempt::Outcome;
 use cinderspoke_core::gateway::catalog::Kind;
-use cinderspoke_core::gateway::health::Sign;
+use cinderspoke_core::gateway::health::Observation;
 use http::{Response, StatusCode, Version, header, response};
 use http_body_util::{BodyExt, Limited};
 
@@ -74,7 +74,7 @@
 
 /// The endpoint's answer does not tell what became of the request.
 fn lost(context: &Context, target: &Target) -> Attempt {
-    target.observe(Sign::Silence, context.clock.now());
+    target.observe(Observation::Silence, context.clock.now());
     Attempt::Failed(Outcome::Lost, None)
 }
 
@@ -87,11 +87,11 @@
 ) -> Attempt {
     let (head, mut live) = Live::new(answer);
     if let Err(stopped) = live.first(until).await {
-        live.target().observe(Sign::Silence, context.clock.now());
+        live.target().observe(Observation::Silence, context.clock.now());
         return Attempt::Failed(stopped.fate(), None);
     }
     live.begun();
-    live.target().observe(Sign::Good, context.clock.now());
+    live.target().observe(Observation::Good, context.clock.now());
     record.began();
     Attempt::Stream(head, Box::new(live))
 }
@@ -103,7 +103,7 @@
     let body = match read {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => {
-            sent.target.observe(Sign::Silence, context.clock.now());
+            sent.target.observe(Observation::Silence, context.clock.now());
             return Attempt::Failed(Outcome::BrokenOff, None);
         }
         Err(_) => return lost(context, &sent.target),
@@ -111,7 +111,7 @@
     let target = sent.end();
     target.pool.keep(connection, keep_alive(&head.headers));
     let good = !head.status.is_server_error();
-    let sign = if good { Sign::Good } else { Sign::Failure };
+    let sign = if good { Observation::Good } else { Observation::Failure };
     target.observe(sign, context.clock.now());
     let response = Response::from_parts(end_to_end(head), body.to_bytes());
     if is_promise(response.status()) {
--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -383,7 +383,7 @@
         let is_beyond = self.engine.is_some() && !is_heard && !member.target.reports_here();
         let is_away = !is_beyond && tracking.load.is_unreachable(self.now);
         let stands = is_away || tracking.load.is_stalled(self.now);
-        let avoid = state == health::State::Out || tracking.paused_until > self.now || stands;
+        let avoid = state == health::State::Ejected || tracking.paused_until > self.now || stands;
         if avoid && avoided == Avoided::LeftOut {
             return None;
         }
@@ -401,12 +401,12 @@
         if is_beyond && avoided == Avoided::LeftOut && self.reach == Reach::Subset {
             return None;
         }
-        let well = heard && !stands && state == health::State::Well;
+        let well = heard && !stands && state == health::State::Healthy;
         // What is held up on the way may begin long after it was given up.
         if version_left.is_some_and(|left| !well || left < forecast.ttft()) {
             return None;
         }
-        let trial = state == health::State::Trial;
+        let trial = state == health::State::ProbeDue;
         let age = tracking.load.report_age(self.now).unwrap_or_default();
         let turn = self.engine.map_or(Duration::ZERO, load::service_time);
         let distance = member.distance;
--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use cinderspoke_core::gateway::tally::REPEAT;
+use cinderspoke_core::gateway::tally::REPEAT_INTERVAL;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout_at};
@@ -47,12 +47,12 @@
 /// Tells agents of changes soon, and from time to time of what stays.
 pub async fn publish(state: &State, socket: &UdpSocket, own: SocketAddr) {
     let changes = state.outstanding_changes();
-    let mut repeat = Instant::now() + REPEAT;
+    let mut repeat = Instant::now() + REPEAT_INTERVAL;
     loop {
         if timeout_at(repeat, changes.added.notified()).await.is_ok() {
             sleep(GATHER).await;
         } else {
-            repeat = Instant::now() + REPEAT;
+            repeat = Instant::now() + REPEAT_INTERVAL;
             state.targets().iter().filter(|target| target.has_outstanding()).for_each(|target| {
                 changes.add(target);
             });
--- a/src/cinderspoke/gateway/passing.rs
+++ b/src/cinderspoke/gateway/passing.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use cinderspoke_core::gateway::attempt::{Next, Outcome};
 use cinderspoke_core::gateway::event::Events;
-use cinderspoke_core::gateway::health::Sign;
+use cinderspoke_core::gateway::health::Observation;
 use http::{Response, StatusCode, header, response};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
@@ -137,7 +137,7 @@
     /// Has another endpoint go on after the last whole event.
     async fn resume(&mut self, stopped: Stopped) {
         let Some(live) = self.live.take() else { return };
-        live.target().observe(Sign::Silence, self.context.clock.now());
+        live.target().observe(Observation::Silence, self.context.clock.now());
         self.record.failed_send(&live.target().name, stopped.fate());
         if stopped == Stopped::BrokeOff {
             crash::look_into(&self.context, &self.parsed, live.target(), live.sent_at()).await;
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -295,7 +295,7 @@
     /// Has the agents of some engines report here.
     async fn subscribe(self: Arc<Self>) {
         let subscribe = pack(&Datagram::Subscribe { from: self.own });
-        let mut ticks = interval(subset::RENEWAL);
+        let mut ticks = interval(subset::RENEWAL_INTERVAL);
         loop {
             ticks.tick().await;
             for engine in self.state.subset() {
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use cinderspoke_core::gateway::attempt::Outcome;
-use cinderspoke_core::gateway::health::Sign;
+use cinderspoke_core::gateway::health::Observation;
 use cinderspoke_ports::gateway::{AnswerHead, Sending};
 use http::{HeaderMap, Request, response};
 use http_body_util::{BodyExt, Full, Limited};
@@ -110,12 +110,12 @@
 ) -> Result<Answer, Outcome> {
     let target = &chosen.target;
     // Not before: what was chosen may still be refused for want of budget.
-    target.tracking().health.try_out(context.clock.now());
+    target.tracking().health.start_probe(context.clock.now());
     let Taken { mut connection, rested } = match target.pool.take().await {
         Ok(taken) => taken,
         Err(error) => {
             tracing::debug!(endpoint = %target.name, error = format!("{error:#}"), "connecting");
-            target.observe(Sign::Silence, context.clock.now());
+            target.observe(Observation::Silence, context.clock.now());
             chosen.place.iter().for_each(|place| release(target, *place, &context.state));
             return Err(Outcome::NotSent);
         }
@@ -135,11 +135,11 @@
             let unsent = error.take_message().is_some();
             let cause = error.error().to_string();
             tracing::debug!(endpoint = %target.name, unsent, cause, "sending");
-            target.observe(Sign::Silence, context.clock.now());
+            target.observe(Observation::Silence, context.clock.now());
             Err(if unsent { Outcome::NotSent } else { Outcome::BrokenOff })
         }
         Err(_) => {
-            target.observe(Sign::Stall, context.clock.now());
+            target.observe(Observation::Stall, context.clock.now());
             Err(if stale.is_some() { Outcome::Stale } else { Outcome::Lost })
         }
     }
--- a/src/cinderspoke/gateway/subset.rs
+++ b/src/cinderspoke/gateway/subset.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use cinderspoke_core::gateway::name::Region;
-use cinderspoke_core::gateway::subset::{far, first, near};
+use cinderspoke_core::gateway::subset::{other_region_count, own_region_count, top_ranked};
 use cinderspoke_core::swarm::Distance;
 
 use super::state::State;
@@ -29,8 +29,12 @@
             regions.entry((is_near, &member.region)).or_default().push(member.entry.address);
         }
         let chosen = regions.into_iter().flat_map(|((is_near, _), engines)| {
-            let count = if is_near { near(engines.len(), gateways) } else { far(gateways) };
-            first(self.key(), engines, count)
+            let count = if is_near {
+                own_region_count(engines.len(), gateways)
+            } else {
+                other_region_count(gateways)
+            };
+            top_ranked(self.key(), engines, count)
         });
         let chosen: BTreeSet<_> = chosen.collect();
         for member in members {
--- a/src/cinderspoke/gateway/target.rs
+++ b/src/cinderspoke/gateway/target.rs
@@ -7,7 +7,7 @@
 
 use cinderspoke_core::gateway::cold;
 use cinderspoke_core::gateway::directory::{Entry, Start};
-use cinderspoke_core::gateway::health::{Health, Sign};
+use cinderspoke_core::gateway::health::{Health, Observation};
 use cinderspoke_core::gateway::load::Load;
 use cinderspoke_core::gateway::name::Endpoint;
 use cinderspoke_core::gateway::notice::{self, Run};
@@ -167,7 +167,7 @@
     }
 
     /// Takes in how a request ended.
-    pub fn observe(&self, sign: Sign, now: Duration) {
+    pub fn observe(&self, sign: Observation, now: Duration) {
         if self.tracking().health.record(sign, now) {
             tracing::info!(endpoint = %self.name, ?sign, "endpoint left out for a while");
             self.pool.clear();
--- a/src/cinderspoke/stager/mod.rs
+++ b/src/cinderspoke/stager/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 use anyhow::{Context as _, Result};
-use cinderspoke_core::gateway::link::{Link, SLOW};
+use cinderspoke_core::gateway::link::{Link, SLOW_CHUNK};
 use cinderspoke_core::transfer::Policy;
 use cinderspoke_ports::gateway::{Engine, Origin};
 use cinderspoke_schema::settings;
@@ -178,7 +178,7 @@
         origin_spacing: Duration::ZERO,
         penalty: PENALTY,
         times: TIMES,
-        slow: Some(SLOW),
+        slow: Some(SLOW_CHUNK),
         link,
         introduction: INTRODUCTION,
         clock: Clock::start(),
--- a/src/cinderspoke/stager/report.rs
+++ b/src/cinderspoke/stager/report.rs
@@ -186,7 +186,7 @@
         Report {
             accepts_requests: self.is_open(),
             last_contact_age: self.deaf(now),
-            is_congested: self.is_narrow(now),
+            is_congested: self.is_congested(now),
             process: self.process,
             ..report.load.clone()
         }
@@ -224,8 +224,8 @@
     }
 
     /// Whether what goes over the link may be held up for seconds.
-    fn is_narrow(&self, now: Duration) -> bool {
-        self.link.lock().unwrap_or_else(PoisonError::into_inner).is_narrow(now)
+    fn is_congested(&self, now: Duration) -> bool {
+        self.link.lock().unwrap_or_else(PoisonError::into_inner).is_congested(now)
     }
 
     fn reservations(&self) -> MutexGuard<'_, reservation::Table> {
--- a/tests/testsuite/awaited.rs
+++ b/tests/testsuite/awaited.rs
@@ -48,7 +48,7 @@
     let transfer = tokio::spawn(collect(Arc::clone(&context), manifest(), members));
     sleep(TRANSFER_TIME).await;
     transfer.abort();
-    context.link.lock().unwrap().is_narrow(context.clock.now())
+    context.link.lock().unwrap().is_congested(context.clock.now())
 }
 
 #[tokio::test]
--- a/tests/testsuite/gateway/link.rs
+++ b/tests/testsuite/gateway/link.rs
@@ -7,16 +7,16 @@
 #[test]
 fn a_link_is_narrow_for_a_while_after_a_slow_chunk_or_one_that_did_not_come() {
     let mut link = Link::default();
-    assert!(!link.is_narrow(ms(0)));
+    assert!(!link.is_congested(ms(0)));
     link.observe(Observation::ResponseTime(ms(200)), ms(1000));
-    assert!(!link.is_narrow(ms(1000)));
+    assert!(!link.is_congested(ms(1000)));
     link.observe(Observation::ResponseTime(ms(900)), ms(2000));
-    assert!(link.is_narrow(ms(2000)) && link.is_narrow(ms(6900)));
+    assert!(link.is_congested(ms(2000)) && link.is_congested(ms(6900)));
     link.observe(Observation::ResponseTime(ms(200)), ms(3000));
-    assert!(link.is_narrow(ms(3000)), "one quick chunk does not refute it");
-    assert!(!link.is_narrow(ms(7100)));
+    assert!(link.is_congested(ms(3000)), "one quick chunk does not refute it");
+    assert!(!link.is_congested(ms(7100)));
     link.observe(Observation::NoResponse, ms(8000));
-    assert!(link.is_narrow(ms(8100)));
+    assert!(link.is_congested(ms(8100)));
     link.observe(Observation::Inconclusive, ms(14_000));
-    assert!(!link.is_narrow(ms(14_000)));
+    assert!(!link.is_congested(ms(14_000)));
 }
--- a/tests/testsuite/gateway/subset.rs
+++ b/tests/testsuite/gateway/subset.rs
@@ -3,7 +3,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use cinderspoke_core::gateway::subset::{FAR_TOLD, LEAST_FAR, NEAR, Subscribers, far, first, near};
+use cinderspoke_core::gateway::subset::{
+    CROSS_REGION_PAIRS, MIN_OTHER_REGION_ENGINES, OWN_REGION_ENGINES, Subscribers,
+    other_region_count, own_region_count, top_ranked,
+};
 use cinderspoke_core::rendezvous::Key;
 use yare::parameterized;
 
@@ -23,7 +26,9 @@
     let mut told: BTreeMap<_, _> = engines(engines_count).into_iter().map(|one| (one, 0)).collect();
     for gateway in 0..gateways {
         let own = Key::of_address(address(0, gateway));
-        for engine in first(own, engines(engines_count), near(engines_count, gateways)) {
+        for engine in
+            top_ranked(own, engines(engines_count), own_region_count(engines_count, gateways))
+        {
             *told.entry(engine).or_default() += 1;
         }
     }
@@ -34,18 +39,18 @@
 // 88 engines of a region told each other 29,000 times a second.
 #[parameterized(fleet = { 88, 110 }, twice = { 176, 220 }, tenfold = { 880, 1100 })]
 fn what_a_gateway_receives_does_not_grow_with_the_fleet(engines: usize, gateways: usize) {
-    assert_eq!(near(engines, gateways), NEAR);
+    assert_eq!(own_region_count(engines, gateways), OWN_REGION_ENGINES);
     let told = told(engines, gateways);
     let (least, most) = (told.values().min().unwrap(), told.values().max().unwrap());
-    let mean = NEAR * gateways / engines;
+    let mean = OWN_REGION_ENGINES * gateways / engines;
     assert!(*least > mean / 3 && *most < 2 * mean, "{least} to {most}, {mean} on average");
 }
 
 // Guards against a subset that takes engines from fleets that are small enough for all.
 #[parameterized(first = { 4, 3 }, grown = { 15, 14 }, large = { 24, 30 })]
 fn in_a_small_fleet_every_gateway_has_reports_of_every_engine(engines: usize, gateways: usize) {
-    assert!(near(engines, gateways) >= engines);
-    assert!(far(gateways) >= engines.min(15));
+    assert!(own_region_count(engines, gateways) >= engines);
+    assert!(other_region_count(gateways) >= engines.min(15));
 }
 
 // Guards against engines that nobody has reports of where gateways are few.
@@ -57,17 +62,20 @@
 // Guards against reports that fill the link between two regions.
 #[parameterized(grown = { 14 }, large = { 30 }, fleet = { 110 }, twice = { 220 })]
 fn reports_to_another_region_are_bounded(gateways: usize) {
-    assert!(gateways * far(gateways) <= FAR_TOLD.max(gateways * LEAST_FAR));
+    assert!(
+        gateways * other_region_count(gateways)
+            <= CROSS_REGION_PAIRS.max(gateways * MIN_OTHER_REGION_ENGINES)
+    );
 }
 
 // Guards against a gateway that loses its reports with each engine that comes or goes.
 #[test]
 fn an_engine_that_goes_changes_one_place_of_a_subset() {
     let own = Key::of_address(address(0, 1));
-    let before = first(own, engines(88), NEAR);
+    let before = top_ranked(own, engines(88), OWN_REGION_ENGINES);
     let gone = before[7];
     let left: Vec<_> = engines(88).into_iter().filter(|engine| *engine != gone).collect();
-    let after = first(own, left, NEAR);
+    let after = top_ranked(own, left, OWN_REGION_ENGINES);
     assert_eq!(after.iter().filter(|engine| !before.contains(engine)).count(), 1);
 }
 
