--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -79,7 +79,7 @@
 
     /// All of them.
     #[must_use]
-    pub fn all(&self, now: Duration) -> Vec<SocketAddr> {
+    pub fn active(&self, now: Duration) -> Vec<SocketAddr> {
         let live = self.0.iter().filter(|(_, until)| **until > now);
         live.map(|(gateway, _)| *gateway).collect()
     }
--- a/crates/core/src/gateway/tally.rs
+++ b/crates/core/src/gateway/tally.rs
@@ -72,7 +72,7 @@
 impl Tally {
     /// Takes in what a gateway told at its own time `sent`; what it told later and
     /// came sooner stays, while it counts.
-    pub fn take(
+    pub fn apply(
         &mut self,
         gateway: SocketAddr,
         outstanding: Outstanding,
@@ -88,7 +88,7 @@
 
     /// What all gateways have outstanding.
     #[must_use]
-    pub fn all(&self, now: Duration) -> Outstanding {
+    pub fn total(&self, now: Duration) -> Outstanding {
         let told = self.told.values().filter(|told| counts(told, now));
         told.map(|told| told.outstanding).fold(Outstanding::default(), Outstanding::plus)
     }
--- a/src/cinderspoke/stager/report.rs
+++ b/src/cinderspoke/stager/report.rs
@@ -174,7 +174,7 @@
                 answers: None,
             })
         };
-        let all = self.tally().all(now);
+        let all = self.tally().total(now);
         for gateway in gateways {
             let others = self.others(all, gateway, now);
             send(&self.socket, gateway, &datagram(Some(gateway) == asked, others)).await;
@@ -202,7 +202,7 @@
     async fn answer(&self, gateway: SocketAddr, number: u64, asked: Duration, prompt: u32) {
         let Some(report) = self.latest.borrow().clone() else { return };
         let now = self.clock.now();
-        let all = self.tally().all(now);
+        let all = self.tally().total(now);
         let others = self.others(all, gateway, now);
         self.reservations().reserve(gateway, asked, prompt, now);
         let answer = Datagram::Report {
@@ -243,7 +243,7 @@
     /// The gateways that want reports; seeds while there are none, so that one of them learns
     /// that this agent lacks the plan.
     fn gateways(&self) -> Vec<SocketAddr> {
-        let subscribers = self.subscribers().all(self.clock.now());
+        let subscribers = self.subscribers().active(self.clock.now());
         if subscribers.is_empty() { self.plans.seeds() } else { subscribers }
     }
 
@@ -292,7 +292,7 @@
                 Datagram::Echo { from, told } => self.on_echo(from, told),
                 Datagram::Subscribe { from } => self.subscribers().renew(from, self.clock.now()),
                 Datagram::Outstanding { from, outstanding, sent, decided_before } => {
-                    self.tally().take(from, outstanding, sent, self.clock.now());
+                    self.tally().apply(from, outstanding, sent, self.clock.now());
                     self.reservations().release_before(from, decided_before);
                 }
                 Datagram::Ask { from, number, asked, prompt } => {
--- a/tests/testsuite/gateway/mod.rs
+++ b/tests/testsuite/gateway/mod.rs
@@ -16,7 +16,7 @@
 mod gossip;
 mod health;
 mod lag;
-mod late;
+mod late_updates;
 mod link;
 mod listing;
 mod load;
--- a/tests/testsuite/gateway/overload/world.rs
+++ b/tests/testsuite/gateway/overload/world.rs
@@ -203,7 +203,7 @@
             }
             Event::Tell { gateway, engine } => self.tell(gateway, engine),
             Event::Told { gateway, engine, outstanding, at, before } => {
-                self.tallies[engine].take(address(gateway), outstanding, at, self.now);
+                self.tallies[engine].apply(address(gateway), outstanding, at, self.now);
                 self.reservations[engine].release_before(address(gateway), before);
             }
             Event::Ask { seeker, engine, at } => self.answer(seeker, engine, at),
@@ -318,7 +318,7 @@
     fn report(&self, engine: usize, gateway: usize) -> Report {
         let (tally, reservations) = (&self.tallies[engine], &self.reservations[engine]);
         let kept = reservations.others(address(gateway), self.now);
-        let others = tally.others(tally.all(self.now), address(gateway), self.now).plus(kept);
+        let others = tally.others(tally.total(self.now), address(gateway), self.now).plus(kept);
         let running = self.engines[engine].busy() as u32;
         let version = Some(Version(1));
         Report {
--- a/tests/testsuite/gateway/subset.rs
+++ b/tests/testsuite/gateway/subset.rs
@@ -84,6 +84,6 @@
 fn a_subscription_lapses_long_after_the_last_word() {
     let mut subscribers = Subscribers::default();
     subscribers.renew(address(0, 1), ms(0));
-    assert_eq!(subscribers.all(ms(20_000)), [address(0, 1)]);
-    assert!(subscribers.all(ms(30_000)).is_empty());
+    assert_eq!(subscribers.active(ms(20_000)), [address(0, 1)]);
+    assert!(subscribers.active(ms(30_000)).is_empty());
 }
--- a/tests/testsuite/gateway/tally.rs
+++ b/tests/testsuite/gateway/tally.rs
@@ -16,14 +16,14 @@
 }
 
 fn others(tally: &Tally, gateway: SocketAddr, now: Duration) -> Outstanding {
-    tally.others(tally.all(now), gateway, now)
+    tally.others(tally.total(now), gateway, now)
 }
 
 #[test]
 fn each_gateway_is_told_what_the_others_have() {
     let mut tally = Tally::default();
-    tally.take(gateway(1), outstanding(3, 1), ms(10), ms(100));
-    tally.take(gateway(2), outstanding(2, 2), ms(10), ms(100));
+    tally.apply(gateway(1), outstanding(3, 1), ms(10), ms(100));
+    tally.apply(gateway(2), outstanding(2, 2), ms(10), ms(100));
     assert_eq!(others(&tally, gateway(1), ms(110)), outstanding(2, 2));
     assert_eq!(others(&tally, gateway(2), ms(110)), outstanding(3, 1));
     assert_eq!(others(&tally, gateway(3), ms(110)), outstanding(5, 3));
@@ -32,8 +32,8 @@
 #[test]
 fn what_was_overtaken_on_the_way_is_not_believed() {
     let mut tally = Tally::default();
-    tally.take(gateway(1), outstanding(0, 0), ms(20), ms(100));
-    tally.take(gateway(1), outstanding(4, 4), ms(10), ms(101));
+    tally.apply(gateway(1), outstanding(0, 0), ms(20), ms(100));
+    tally.apply(gateway(1), outstanding(4, 4), ms(10), ms(101));
     assert_eq!(others(&tally, gateway(2), ms(102)), outstanding(0, 0));
 }
 
@@ -41,10 +41,10 @@
 #[test]
 fn what_a_silent_gateway_told_is_forgotten() {
     let mut tally = Tally::default();
-    tally.take(gateway(1), outstanding(4, 4), ms(50_000), ms(100));
+    tally.apply(gateway(1), outstanding(4, 4), ms(50_000), ms(100));
     assert_eq!(others(&tally, gateway(2), ms(1000)), outstanding(4, 4), "repeats may be lost");
     assert_eq!(others(&tally, gateway(2), ms(2000)), outstanding(0, 0));
     // The process that follows has a clock of its own.
-    tally.take(gateway(1), outstanding(1, 1), ms(0), ms(2100));
+    tally.apply(gateway(1), outstanding(1, 1), ms(0), ms(2100));
     assert_eq!(others(&tally, gateway(2), ms(2100)), outstanding(1, 1));
 }
