--- a/crates/core/src/gateway/suspect.rs
+++ b/crates/core/src/gateway/suspect.rs
@@ -80,7 +80,7 @@
     /// An endpoint ended, named by its key.
     Endpoint(u64),
     /// The request was sent once more, to find out; counts as an end until it is answered.
-    Trial,
+    Probe,
 }
 
 /// An end of an endpoint that had the request.
@@ -132,7 +132,7 @@
 
     /// For how long it is held back after the last end.
     fn hold(&self) -> Duration {
-        let trials = self.ends.iter().filter(|end| end.cause == Cause::Trial).count();
+        let trials = self.ends.iter().filter(|end| end.cause == Cause::Probe).count();
         FIRST_HOLD.saturating_mul(1 << trials.min(MOST_DOUBLINGS))
     }
 
@@ -151,7 +151,7 @@
         if self.ends.len() <= MOST_ENDS {
             return true;
         }
-        self.ends.sort_by_key(|end| (end.cause == Cause::Trial, end.broke));
+        self.ends.sort_by_key(|end| (end.cause == Cause::Probe, end.broke));
         // What is forgotten at once is no news, or gateways would tell it on for ever.
         self.ends.remove(0).id != end.id
     }
@@ -166,7 +166,7 @@
 
     /// Takes in that another gateway saw it answered; true when that clears it of an end.
     fn told_answer(&mut self, at: Moment) -> bool {
-        // Told on and on, the same answer would seem later by the way each time.
+        // Update on and on, the same answer would seem later by the way each time.
         let later = self.answered.is_none_or(|known| at.0 > known.0 + SAME_MS);
         later && self.answer(at)
     }
@@ -181,7 +181,7 @@
 
 /// An end of an endpoint, as one gateway tells another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct ToldEnd {
+struct EndUpdate {
     id: u64,
     cause: Cause,
     sent: Duration,
@@ -190,9 +190,9 @@
 
 /// A suspect, as one gateway tells another; times are ages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Update {
     fingerprint: Fingerprint,
-    ends: Vec<ToldEnd>,
+    ends: Vec<EndUpdate>,
     answered: Option<Duration>,
 }
 
@@ -206,18 +206,18 @@
     /// When the request was sent.
     pub sent: Duration,
     /// When the connection broke off.
-    pub broke: Duration,
+    pub disconnected: Duration,
 }
 
 /// What a piece of news has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum Change {
     /// Nothing.
-    Known,
+    None,
     /// Others have to be told.
-    New,
+    Updated,
     /// Others have to be told, and the request is held back from now on.
-    Held,
+    Quarantined,
     /// Others have to be told, and the request is held back no more.
     Released,
 }
@@ -226,9 +226,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Merged {
     /// Whether others have to be told.
-    pub is_news: bool,
+    pub changed: bool,
     /// The requests that are held back from now on.
-    pub held: Vec<Fingerprint>,
+    pub quarantined: Vec<Fingerprint>,
     /// Those of them at whose ends this gateway was: it has them kept, since whoever saw
     /// the last end may not know of the others.
     pub witnessed: Vec<Fingerprint>,
@@ -240,9 +240,9 @@
     /// It may.
     Pass,
     /// It may, to find out whether it still ends endpoints; others wait meanwhile.
-    Trial,
+    Probe,
     /// It may not for so long.
-    Held(Duration),
+    Quarantined(Duration),
 }
 
 /// All suspects that are known.
@@ -266,12 +266,17 @@
     }
 
     /// Takes in that an endpoint ended before it answered a request.
-    pub fn crashed(&mut self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> News {
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        crash: &Crash,
+        now: Duration,
+    ) -> Change {
         let end = End {
             id: crash.id,
             cause: Cause::Endpoint(Key::of(crash.endpoint.as_str()).as_u64()),
             sent: Moment::at(crash.sent),
-            broke: Moment::at(crash.broke),
+            broke: Moment::at(crash.disconnected),
             own: true,
         };
         self.forget(now);
@@ -279,19 +284,19 @@
     }
 
     /// Takes in that a request was answered, if it is a suspect.
-    pub fn answered(&mut self, fingerprint: Fingerprint, now: Duration) -> News {
-        let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return News::Known };
+    pub fn record_answer(&mut self, fingerprint: Fingerprint, now: Duration) -> Change {
+        let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return Change::None };
         let was_held = suspect.is_held();
         match suspect.answer(Moment::at(now)) {
-            true if was_held => News::Released,
-            true => News::New,
-            false => News::Known,
+            true if was_held => Change::Released,
+            true => Change::Updated,
+            false => Change::None,
         }
     }
 
     /// Takes in that a request was held back by gateways that may have ended since; true
     /// when that was not known.
-    pub fn found_held(&mut self, fingerprint: Fingerprint, now: Duration) -> bool {
+    pub fn restore_quarantine(&mut self, fingerprint: Fingerprint, now: Duration) -> bool {
         let found = (0..ENDS as i64).map(|number| {
             let key =
                 Key::of_number(fingerprint.as_u64()).with(Key::of_number(number as u64)).as_u64();
@@ -303,7 +308,7 @@
         if self.suspects.get(&fingerprint).is_some_and(Suspect::is_held) {
             return false;
         }
-        found.fold(false, |any, end| any | (self.end(fingerprint, end) != News::Known))
+        found.fold(false, |any, end| any | (self.end(fingerprint, end) != Change::None))
     }
 
     /// Whether a request may be sent by the gateway of a key. `id` is drawn anew each time.
@@ -326,24 +331,24 @@
         let hold = suspect.hold().mul_f64(1.0 + share);
         let passed = last.age(now);
         if passed < hold {
-            return Admission::Held(hold - passed);
+            return Admission::Quarantined(hold - passed);
         }
         let (sent, broke) = (Moment::at(now), Moment::at(now));
-        suspect.end(End { id, cause: Cause::Trial, sent, broke, own: true });
-        Admission::Trial
+        suspect.end(End { id, cause: Cause::Probe, sent, broke, own: true });
+        Admission::Probe
     }
 
     /// What other gateways are to be told in a digest: of those that are held back, and of news.
     #[must_use]
-    pub fn tell(&self, now: Duration) -> Vec<Told> {
-        let mut told = self.tell_all(now);
+    pub fn updates(&self, now: Duration) -> Vec<Update> {
+        let mut told = self.all_updates(now);
         told.truncate(MOST_TOLD);
         told
     }
 
     /// The same, however much it is, for a gateway that asks.
     #[must_use]
-    pub fn tell_all(&self, now: Duration) -> Vec<Told> {
+    pub fn all_updates(&self, now: Duration) -> Vec<Update> {
         let is_told = |suspect: &Suspect| {
             suspect.is_held() || suspect.last_news().is_some_and(|at| at.age(now) < TOLD)
         };
@@ -356,21 +361,21 @@
     }
 
     /// Takes in what another gateway tells.
-    pub fn merge(&mut self, told: &[Told], now: Duration) -> Merged {
+    pub fn merge(&mut self, told: &[Update], now: Duration) -> Merged {
         self.forget(now);
         let mut merged = Merged::default();
         for told in told {
             if let Some(age) = told.answered {
                 let suspect = self.suspects.entry(told.fingerprint).or_default();
-                merged.is_news |= suspect.told_answer(Moment::ago(age, now));
+                merged.changed |= suspect.told_answer(Moment::ago(age, now));
             }
             for end in &told.ends {
-                let ToldEnd { id, cause, sent, broke } = *end;
+                let EndUpdate { id, cause, sent, broke } = *end;
                 let (sent, broke) = (Moment::ago(sent, now), Moment::ago(broke, now));
                 let news = self.end(told.fingerprint, End { id, cause, sent, broke, own: false });
-                merged.is_news |= news != News::Known;
-                if news == News::Held {
-                    merged.held.push(told.fingerprint);
+                merged.changed |= news != Change::None;
+                if news == Change::Quarantined {
+                    merged.quarantined.push(told.fingerprint);
                     let suspect = self.suspects.get(&told.fingerprint);
                     if suspect.is_some_and(|suspect| suspect.ends.iter().any(|end| end.own)) {
                         merged.witnessed.push(told.fingerprint);
@@ -381,15 +386,15 @@
         merged
     }
 
-    fn end(&mut self, fingerprint: Fingerprint, end: End) -> News {
+    fn end(&mut self, fingerprint: Fingerprint, end: End) -> Change {
         let suspect = self.suspects.entry(fingerprint).or_default();
         let before = suspect.is_held();
         if !suspect.end(end) {
-            return News::Known;
+            return Change::None;
         }
         let held = suspect.is_held() && !before;
         self.keep_bounds();
-        if held { News::Held } else { News::New }
+        if held { Change::Quarantined } else { Change::Updated }
     }
 
     /// Forgets what is over.
@@ -412,13 +417,13 @@
 }
 
 /// A suspect for another gateway.
-fn tell(fingerprint: Fingerprint, suspect: &Suspect, now: Duration) -> Told {
-    let ends = suspect.ends.iter().map(|end| ToldEnd {
+fn tell(fingerprint: Fingerprint, suspect: &Suspect, now: Duration) -> Update {
+    let ends = suspect.ends.iter().map(|end| EndUpdate {
         id: end.id,
         cause: end.cause,
         sent: end.sent.age(now),
         broke: end.broke.age(now),
     });
     let answered = suspect.answered.map(|at| at.age(now));
-    Told { fingerprint, ends: ends.collect(), answered }
+    Update { fingerprint, ends: ends.collect(), answered }
 }
--- a/src/cinderspoke/gateway/crash.rs
+++ b/src/cinderspoke/gateway/crash.rs
@@ -5,7 +5,7 @@
 
 use cinderspoke_core::gateway::fingerprint::{Fingerprint, Identity};
 use cinderspoke_core::gateway::name::Request;
-use cinderspoke_core::gateway::suspect::{Crash, News};
+use cinderspoke_core::gateway::suspect::{Change, Crash};
 
 use super::context::Context;
 use super::parse::Parsed;
@@ -92,7 +92,7 @@
             id: rand::random(),
             endpoint: self.target.name.clone(),
             sent: self.sent,
-            broke: self.broke,
+            disconnected: self.broke,
         };
         let news = self.context.state.crashed(self.fingerprint, &crash);
         tracing::info!(
@@ -100,7 +100,7 @@
             endpoint = %self.target.name,
             fingerprint = %self.fingerprint,
             after_ms = self.broke.saturating_sub(self.sent).as_millis() as u64,
-            held = news == News::Held,
+            held = news == Change::Quarantined,
             "an endpoint ended under a request"
         );
     }
--- a/src/cinderspoke/gateway/message.rs
+++ b/src/cinderspoke/gateway/message.rs
@@ -18,7 +18,7 @@
 use cinderspoke_core::gateway::outage::Ago;
 use cinderspoke_core::gateway::region::{self, Standing};
 use cinderspoke_core::gateway::rollout::Rollout;
-use cinderspoke_core::gateway::suspect::Told;
+use cinderspoke_core::gateway::suspect::Update;
 use cinderspoke_core::gateway::tally::Outstanding;
 use cinderspoke_core::gateway::timeline::Ages;
 use cinderspoke_core::rendezvous::Key;
@@ -55,7 +55,7 @@
     /// answers first.
     pub answers: Vec<Ago>,
     /// Requests under which endpoints ended.
-    pub suspects: Vec<Told>,
+    pub suspects: Vec<Update>,
     /// Endpoints that leave, as they themselves said.
     pub leaving: Vec<notice::Told>,
 }
@@ -178,7 +178,7 @@
     /// Other gateways.
     pub gateways: Vec<Named>,
     /// Requests under which endpoints ended.
-    pub suspects: Vec<Told>,
+    pub suspects: Vec<Update>,
 }
 
 /// An engine of a service, as agents see it.
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::fingerprint::Fingerprint;
-use cinderspoke_core::gateway::suspect::{Admission, Crash, Merged, News, Table, Told};
+use cinderspoke_core::gateway::suspect::{Admission, Change, Crash, Merged, Table, Update};
 use cinderspoke_core::rendezvous::Key;
 
 use super::context::Context;
@@ -64,13 +64,13 @@
     }
 
     /// Takes in that an endpoint ended before it answered a request.
-    pub fn crashed(&self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> News {
-        self.act(|table| table.crashed(fingerprint, crash, now))
+    pub fn crashed(&self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> Change {
+        self.act(|table| table.record_crash(fingerprint, crash, now))
     }
 
     /// Takes in that a request was answered.
-    pub fn answered(&self, fingerprint: Fingerprint, now: Duration) -> News {
-        self.act(|table| table.answered(fingerprint, now))
+    pub fn answered(&self, fingerprint: Fingerprint, now: Duration) -> Change {
+        self.act(|table| table.record_answer(fingerprint, now))
     }
 
     /// Whether a request may be sent.
@@ -79,20 +79,20 @@
     }
 
     /// Takes in what another gateway tells.
-    pub fn merge(&self, told: &[Told], now: Duration) -> Merged {
+    pub fn merge(&self, told: &[Update], now: Duration) -> Merged {
         self.act(|table| table.merge(told, now))
     }
 
     /// All that a gateway that asks is to be told.
     #[must_use]
-    pub fn tell_all(&self, now: Duration) -> Vec<Told> {
-        if self.any() { self.act(|table| table.tell_all(now)) } else { Vec::new() }
+    pub fn tell_all(&self, now: Duration) -> Vec<Update> {
+        if self.any() { self.act(|table| table.all_updates(now)) } else { Vec::new() }
     }
 
     /// What other gateways are to be told.
     #[must_use]
-    pub fn tell(&self, now: Duration) -> Vec<Told> {
-        if self.any() { self.act(|table| table.tell(now)) } else { Vec::new() }
+    pub fn tell(&self, now: Duration) -> Vec<Update> {
+        if self.any() { self.act(|table| table.updates(now)) } else { Vec::new() }
     }
 }
 
@@ -116,15 +116,15 @@
 
 impl State {
     /// Takes in that an endpoint ended before it answered a request.
-    pub(super) fn crashed(&self, fingerprint: Fingerprint, crash: &Crash) -> News {
+    pub(super) fn crashed(&self, fingerprint: Fingerprint, crash: &Crash) -> Change {
         let news = self.suspects().crashed(fingerprint, crash, self.clock().now());
         match news {
-            News::Held => self.suspects().pending.set(fingerprint, true),
+            Change::Quarantined => self.suspects().pending.set(fingerprint, true),
             // Others may know more, and be out of reach.
-            News::New => self.suspects().pending.request_read(),
-            News::Released | News::Known => {}
+            Change::Updated => self.suspects().pending.request_read(),
+            Change::Released | Change::None => {}
         }
-        if news != News::Known {
+        if news != Change::None {
             self.tell_others();
         }
         news
@@ -133,10 +133,10 @@
     /// Takes in that a request was served.
     fn was_served(&self, fingerprint: Fingerprint) {
         let news = self.suspects().answered(fingerprint, self.clock().now());
-        if news == News::Released {
+        if news == Change::Released {
             self.suspects().pending.set(fingerprint, false);
         }
-        if news != News::Known {
+        if news != Change::None {
             tracing::info!(%fingerprint, "a suspected request was served");
             self.tell_others();
         }
@@ -146,20 +146,21 @@
     fn admit(&self, fingerprint: Fingerprint) -> Option<Duration> {
         match self.suspects().admit(fingerprint, self.clock().now()) {
             Admission::Pass => None,
-            Admission::Trial => {
+            Admission::Probe => {
                 tracing::info!(%fingerprint, "a request that was held back is tried");
                 self.tell_others();
                 None
             }
-            Admission::Held(left) => Some(left),
+            Admission::Quarantined(left) => Some(left),
         }
     }
 
     /// Takes in which requests the store says are held back.
     pub fn found_held(&self, requests: &[Fingerprint]) {
         let now = self.clock().now();
-        let news =
-            |request: &&Fingerprint| self.suspects().act(|table| table.found_held(**request, now));
+        let news = |request: &&Fingerprint| {
+            self.suspects().act(|table| table.restore_quarantine(**request, now))
+        };
         let found: Vec<_> = requests.iter().filter(news).collect();
         for fingerprint in &found {
             tracing::info!(%fingerprint, "a request is held back, as the store tells");
@@ -170,15 +171,15 @@
     }
 
     /// Takes in what another gateway knows of suspected requests.
-    pub fn told_suspects(&self, told: &[Told]) {
+    pub fn told_suspects(&self, told: &[Update]) {
         let merged = self.suspects().merge(told, self.clock().now());
-        for fingerprint in &merged.held {
+        for fingerprint in &merged.quarantined {
             tracing::info!(%fingerprint, "a request is held back, as other gateways tell");
         }
         for fingerprint in &merged.witnessed {
             self.suspects().pending.set(*fingerprint, true);
         }
-        if merged.is_news {
+        if merged.changed {
             self.tell_others();
         }
     }
--- a/tests/testsuite/gateway/suspect.rs
+++ b/tests/testsuite/gateway/suspect.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::fingerprint::{Fingerprint, Identity};
-use cinderspoke_core::gateway::suspect::{Admission, Crash, News, Table, Told};
+use cinderspoke_core::gateway::suspect::{Admission, Change, Crash, Table, Update};
 use cinderspoke_core::rendezvous::Key;
 
 use super::ms;
@@ -48,11 +48,11 @@
     }
 
     /// An endpoint ended that had got a request at a time.
-    fn crash(&mut self, request: Fingerprint, endpoint: &str, sent: u64, broke: u64) -> News {
+    fn crash(&mut self, request: Fingerprint, endpoint: &str, sent: u64, broke: u64) -> Change {
         let id = self.draw();
         let (sent, broke) = (self.now(sent), self.now(broke));
-        let crash = Crash { id, endpoint: endpoint.into(), sent, broke };
-        self.table.crashed(request, &crash, broke)
+        let crash = Crash { id, endpoint: endpoint.into(), sent, disconnected: broke };
+        self.table.record_crash(request, &crash, broke)
     }
 
     fn admit(&mut self, request: Fingerprint, now: u64) -> Admission {
@@ -64,13 +64,13 @@
         self.admit(request, now) == Admission::Pass
     }
 
-    fn tell(&self, now: u64) -> Vec<Told> {
-        self.table.tell(self.now(now))
+    fn tell(&self, now: u64) -> Vec<Update> {
+        self.table.updates(self.now(now))
     }
 
     /// Hears what another one told; true when it is news.
-    fn hear(&mut self, told: &[Told], now: u64) -> bool {
-        self.table.merge(told, self.now(now)).is_news
+    fn hear(&mut self, told: &[Update], now: u64) -> bool {
+        self.table.merge(told, self.now(now)).changed
     }
 
     /// Suffers three ends, one after the other, the last at 1500.
@@ -84,11 +84,13 @@
 #[test]
 fn a_request_is_held_back_after_three_ends_and_others_are_not() {
     let mut gateway = Gateway::new("g", 0);
-    assert_eq!(gateway.crash(fatal(), "e1", 100, 500), News::New);
-    assert_eq!(gateway.crash(fatal(), "e2", 505, 1000), News::New);
+    assert_eq!(gateway.crash(fatal(), "e1", 100, 500), Change::Updated);
+    assert_eq!(gateway.crash(fatal(), "e2", 505, 1000), Change::Updated);
     assert!(gateway.passes(fatal(), 1001), "one or two may be met by chance");
-    assert_eq!(gateway.crash(fatal(), "e3", 1005, 1500), News::Held);
-    let Admission::Held(left) = gateway.admit(fatal(), 1501) else { panic!("it is held back") };
+    assert_eq!(gateway.crash(fatal(), "e3", 1005, 1500), Change::Quarantined);
+    let Admission::Quarantined(left) = gateway.admit(fatal(), 1501) else {
+        panic!("it is held back")
+    };
     assert!(left > ms(50_000));
     assert!(gateway.passes(other(), 1501));
 }
@@ -123,7 +125,7 @@
     one.crash(fatal(), "e1", 100, 500);
     one.crash(fatal(), "e2", 505, 1000);
     two.hear(&one.tell(1010), 1010);
-    assert_eq!(two.table.answered(fatal(), ms(1100)), News::New);
+    assert_eq!(two.table.record_answer(fatal(), ms(1100)), Change::Updated);
     assert!(one.hear(&two.tell(1110), 1110));
     // Nor does whoever has not heard of the answer bring the ends back.
     let mut three = Gateway::new("three", 0);
@@ -144,7 +146,7 @@
     gateways[0].crash(fatal(), "e1", 100, 500);
     gateways[1].crash(fatal(), "e1", 300, 504);
     gateways[1].crash(fatal(), "e2", 510, 1000);
-    // News goes on and on, with 40 ms for each way.
+    // Change goes on and on, with 40 ms for each way.
     let mut now = 1000;
     for round in 0..60 {
         now += 40;
@@ -158,7 +160,7 @@
     let told = gateways[2].tell(now + 400);
     for gateway in &mut gateways[..2] {
         assert!(gateway.hear(&told, now + 410));
-        assert!(matches!(gateway.admit(fatal(), now + 420), Admission::Held(_)));
+        assert!(matches!(gateway.admit(fatal(), now + 420), Admission::Quarantined(_)));
         assert!(!gateway.hear(&told, now + 430), "told once more it is no news");
     }
 }
@@ -169,7 +171,9 @@
     old.suffer(fatal());
     let mut young = Gateway::new("young", 20_000);
     young.hear(&old.tell(20_003), 20_003);
-    let Admission::Held(left) = young.admit(fatal(), 20_004) else { panic!("it is held back") };
+    let Admission::Quarantined(left) = young.admit(fatal(), 20_004) else {
+        panic!("it is held back")
+    };
     assert!(left > ms(41_000) && left < ms(102_000), "{left:?}");
 }
 
@@ -183,7 +187,7 @@
     let mut now = 1520;
     let first = loop {
         now += 10;
-        let admit = |gateway: &mut Gateway| gateway.admit(fatal(), now) == Admission::Trial;
+        let admit = |gateway: &mut Gateway| gateway.admit(fatal(), now) == Admission::Probe;
         if let Some(number) = gateways.iter_mut().position(admit) {
             break number;
         }
@@ -192,7 +196,7 @@
     let told = gateways[first].tell(now + 5);
     for number in (0..names.len()).filter(|number| *number != first) {
         assert!(gateways[number].hear(&told, now + 20));
-        let Admission::Held(left) = gateways[number].admit(fatal(), now + 30) else {
+        let Admission::Quarantined(left) = gateways[number].admit(fatal(), now + 30) else {
             panic!("others wait")
         };
         assert!(left > ms(60_000) && left < FIRST_HOLD_AND_SHARE * 2, "{left:?}");
@@ -204,9 +208,9 @@
     let mut gateway = Gateway::new("g", 0);
     gateway.suffer(fatal());
     let later = 1500 + FIRST_HOLD_AND_SHARE.as_millis() as u64;
-    assert_eq!(gateway.admit(fatal(), later), Admission::Trial);
-    assert!(matches!(gateway.admit(fatal(), later + 1), Admission::Held(_)));
-    gateway.table.answered(fatal(), ms(later + 100));
+    assert_eq!(gateway.admit(fatal(), later), Admission::Probe);
+    assert!(matches!(gateway.admit(fatal(), later + 1), Admission::Quarantined(_)));
+    gateway.table.record_answer(fatal(), ms(later + 100));
     assert!(gateway.passes(fatal(), later + 101));
 }
 
@@ -219,11 +223,11 @@
         let by_chance = Fingerprint::of(&Identity { body: &body, ..identity() });
         gateway.crash(by_chance, "e9", 1600, 2000);
     }
-    assert!(matches!(gateway.admit(fatal(), 2001), Admission::Held(_)));
+    assert!(matches!(gateway.admit(fatal(), 2001), Admission::Quarantined(_)));
     assert!(gateway.tell(2001).len() < 100);
     let mut another = Gateway::new("another", 0);
     another.hear(&gateway.tell(2001), 2010);
-    assert!(matches!(another.admit(fatal(), 2011), Admission::Held(_)));
+    assert!(matches!(another.admit(fatal(), 2011), Admission::Quarantined(_)));
 }
 
 #[test]
@@ -238,13 +242,13 @@
 #[test]
 fn what_the_store_says_is_held_back_is_held_until_it_is_answered() {
     let (mut one, mut two) = (Gateway::new("one", 10_000), Gateway::new("two", 10_300));
-    assert!(one.table.found_held(fatal(), one.now(10_500)));
-    assert!(!one.table.found_held(fatal(), one.now(10_600)), "found again it is no news");
-    assert!(two.table.found_held(fatal(), two.now(10_700)));
+    assert!(one.table.restore_quarantine(fatal(), one.now(10_500)));
+    assert!(!one.table.restore_quarantine(fatal(), one.now(10_600)), "found again it is no news");
+    assert!(two.table.restore_quarantine(fatal(), two.now(10_700)));
     assert!(!two.hear(&one.tell(10_800), 10_810), "both found the same");
-    assert!(matches!(one.admit(fatal(), 10_900), Admission::Held(_)));
+    assert!(matches!(one.admit(fatal(), 10_900), Admission::Quarantined(_)));
     assert!(one.passes(other(), 10_900));
-    assert_eq!(one.table.answered(fatal(), one.now(11_000)), News::Released);
+    assert_eq!(one.table.record_answer(fatal(), one.now(11_000)), Change::Released);
     assert!(two.hear(&one.tell(11_010), 11_020));
     assert!(two.passes(fatal(), 11_030));
 }
@@ -257,11 +261,11 @@
         (Gateway::new("one", 0), Gateway::new("two", 0), Gateway::new("three", 0));
     one.crash(fatal(), "e1", 100, 500);
     one.crash(fatal(), "e2", 505, 1000);
-    assert_eq!(two.crash(fatal(), "e3", 1005, 1500), News::New, "it knows of one end");
+    assert_eq!(two.crash(fatal(), "e3", 1005, 1500), Change::Updated, "it knows of one end");
     let told = [one.tell(1510), two.tell(1510)].concat();
     for (gateway, witnessed) in [(&mut one, true), (&mut two, true), (&mut three, false)] {
         let merged = gateway.table.merge(&told, ms(1520));
-        assert_eq!(merged.held, [fatal()]);
+        assert_eq!(merged.quarantined, [fatal()]);
         assert_eq!(!merged.witnessed.is_empty(), witnessed);
     }
 }
