--- a/crates/core/src/gateway/notice.rs
+++ b/crates/core/src/gateway/notice.rs
@@ -24,7 +24,7 @@
 
 /// The most of them that others are told at once, some 14 bytes each: a link's packet holds
 /// them beside the rest of a digest.
-const MOST_TOLD: usize = 48;
+const MAX_UPDATES: usize = 48;
 
 /// One run of an endpoint, from its start to its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -41,14 +41,14 @@
 
 /// An engine's word that it leaves, as its agent heard it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Departure {
+pub struct Drain {
     /// When the engine that said so had started, where it tells that.
     pub start: Option<Start>,
 }
 
 /// A run that leaves, as gateways tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Update {
     /// The run.
     pub run: Run,
     /// How long ago it said so.
@@ -66,7 +66,7 @@
 
 impl Table {
     /// Takes in that a run leaves; true when that is news.
-    pub fn leaves(&mut self, run: Run, now: Duration) -> bool {
+    pub fn record_drain(&mut self, run: Run, now: Duration) -> bool {
         let is_news = self.leaving.insert(run, now).is_none();
         while self.leaving.len() > MOST {
             let oldest = self.leaving.iter().min_by_key(|(_, said)| **said).map(|(run, _)| *run);
@@ -77,44 +77,44 @@
 
     /// Takes in that a run wants no requests until a time; one that it has asked for
     /// already is not made shorter.
-    pub fn rests(&mut self, run: Run, until: Duration) {
+    pub fn record_backoff(&mut self, run: Run, until: Duration) {
         let known = self.rests.entry(run).or_default();
         *known = until.max(*known);
     }
 
     /// Whether a run leaves.
     #[must_use]
-    pub fn is_leaving(&self, run: Run) -> bool {
+    pub fn is_draining(&self, run: Run) -> bool {
         self.leaving.contains_key(&run)
     }
 
     /// Until when a run wants no requests.
     #[must_use]
-    pub fn rests_until(&self, run: Run) -> Duration {
+    pub fn backoff_until(&self, run: Run) -> Duration {
         self.rests.get(&run).copied().unwrap_or_default()
     }
 
     /// What other gateways are to be told, the newest first: the runs that leave although
     /// the list has them as ready. The list tells of all others.
     #[must_use]
-    pub fn tell(&self, ready: impl IntoIterator<Item = Run>, now: Duration) -> Vec<Told> {
+    pub fn updates(&self, ready: impl IntoIterator<Item = Run>, now: Duration) -> Vec<Update> {
         if self.leaving.is_empty() {
             return Vec::new();
         }
         let said = |run: Run| Some((*self.leaving.get(&run)?, run));
         let mut told: Vec<_> = ready.into_iter().filter_map(said).collect();
         told.sort_unstable_by(|one, other| other.cmp(one));
-        told.truncate(MOST_TOLD);
+        told.truncate(MAX_UPDATES);
         let told = told.into_iter();
-        told.map(|(said, run)| Told { run, ago: now.saturating_sub(said).into() }).collect()
+        told.map(|(said, run)| Update { run, ago: now.saturating_sub(said).into() }).collect()
     }
 
     /// Takes in what another gateway tells; gives the runs that are news.
-    pub fn merge(&mut self, told: &[Told], now: Duration) -> Vec<Run> {
+    pub fn merge(&mut self, told: &[Update], now: Duration) -> Vec<Run> {
         let mut news = Vec::new();
-        for Told { run, ago } in told {
+        for Update { run, ago } in told {
             let said = now.saturating_sub(Duration::from(*ago));
-            if !self.is_leaving(*run) && self.leaves(*run, said) {
+            if !self.is_draining(*run) && self.record_drain(*run, said) {
                 news.push(*run);
             }
         }
@@ -123,7 +123,7 @@
 
     /// Forgets rests that are over, and runs that said long ago that they leave, but for
     /// those that are listed still.
-    pub fn forget(&mut self, is_listed: impl Fn(Run) -> bool, now: Duration) {
+    pub fn expire(&mut self, is_listed: impl Fn(Run) -> bool, now: Duration) {
         self.rests.retain(|_, until| *until > now);
         self.leaving.retain(|run, said| *said + KEPT > now || is_listed(*run));
     }
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -115,7 +115,7 @@
         });
         *by_address = addressed.collect();
         let listed: BTreeSet<Run> = targets.values().map(|target| target.run).collect();
-        notices.forget(|run| listed.contains(&run), now);
+        notices.expire(|run| listed.contains(&run), now);
     }
 
     /// The endpoints that the list has as ready.
@@ -137,7 +137,7 @@
             directory_hash: self.directory_hash,
             emptied: self.evacuation.known().cloned(),
             answers: self.outage.answers(now),
-            leaving: self.notices.tell(self.ready().map(|(target, _)| target.run), now),
+            leaving: self.notices.updates(self.ready().map(|(target, _)| target.run), now),
             ..Known::default()
         }
     }
--- a/src/cinderspoke/gateway/message.rs
+++ b/src/cinderspoke/gateway/message.rs
@@ -57,7 +57,7 @@
     /// Requests under which endpoints ended.
     pub suspects: Vec<Update>,
     /// Endpoints that leave, as they themselves said.
-    pub leaving: Vec<notice::Told>,
+    pub leaving: Vec<notice::Update>,
 }
 
 /// A gateway as others name it.
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cinderspoke_core::gateway::notice::{Departure, Run, Told};
+use cinderspoke_core::gateway::notice::{Departure, Run, Update};
 use cinderspoke_ports::gateway::AnswerHead;
 
 use super::context::Context;
@@ -37,7 +37,7 @@
     fn leaves(&self, run: Run, from: &str) {
         let now = self.clock().now();
         let mut inner = self.lock();
-        if inner.notices.leaves(run, now) {
+        if inner.notices.record_drain(run, now) {
             self.leave(&mut inner, &[run], from);
             drop(inner);
             self.tell_others();
@@ -53,7 +53,7 @@
     }
 
     /// Takes in which endpoints leave, as another gateway knows it.
-    pub fn told_leaving(&self, told: &[Told]) {
+    pub fn told_leaving(&self, told: &[Update]) {
         if told.is_empty() {
             return;
         }
@@ -72,7 +72,7 @@
         let until = self.clock().now().saturating_add(rest);
         target.extend_backoff(until);
         let mut inner = self.lock();
-        inner.notices.rests(target.run, until);
+        inner.notices.record_backoff(target.run, until);
         // Its entry may have gone and come back since the request was sent.
         let known = inner.targets.get(&target.name).filter(|known| known.run == target.run);
         if let Some(known) = known {
--- a/src/cinderspoke/gateway/target.rs
+++ b/src/cinderspoke/gateway/target.rs
@@ -62,8 +62,8 @@
     #[must_use]
     pub fn new(name: Endpoint, entry: &Entry, notices: &notice::Table) -> Self {
         let (pool, start, run) = (Pool::new(entry.address), entry.start, Run::of(&name, entry));
-        let draining = AtomicBool::new(notices.is_leaving(run));
-        let backoff_until_ms = AtomicU64::new(whole_millis(notices.rests_until(run)));
+        let draining = AtomicBool::new(notices.is_draining(run));
+        let backoff_until_ms = AtomicU64::new(whole_millis(notices.backoff_until(run)));
         Self {
             name,
             pool,
--- a/tests/testsuite/gateway/notice.rs
+++ b/tests/testsuite/gateway/notice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::directory::{Entry, Start, State};
-use cinderspoke_core::gateway::notice::{Run, Table, Told};
+use cinderspoke_core::gateway::notice::{Run, Table, Update};
 
 use super::directory::entry;
 use super::ms;
@@ -40,48 +40,48 @@
 #[test]
 fn what_one_gateway_hears_another_one_learns_once() {
     let (mut one, mut other) = (Table::default(), Table::default());
-    assert!(one.leaves(run("e"), ms(1000)));
-    assert!(!one.leaves(run("e"), ms(2000)), "it is no news twice");
-    let told = one.tell([run("e"), run("f")], ms(3000));
+    assert!(one.record_drain(run("e"), ms(1000)));
+    assert!(!one.record_drain(run("e"), ms(2000)), "it is no news twice");
+    let told = one.updates([run("e"), run("f")], ms(3000));
     assert_eq!(told.len(), 1);
     assert_eq!(other.merge(&told, ms(50)), [run("e")]);
     assert!(other.merge(&told, ms(60)).is_empty());
-    assert!(other.is_leaving(run("e")) && !other.is_leaving(run("f")));
+    assert!(other.is_draining(run("e")) && !other.is_draining(run("f")));
 }
 
 #[test]
 fn nothing_is_told_of_what_the_list_says_itself() {
     let mut table = Table::default();
-    table.leaves(run("e"), ms(0));
-    assert!(table.tell([run("f")], ms(1)).is_empty(), "e is not ready in the list");
+    table.record_drain(run("e"), ms(0));
+    assert!(table.updates([run("f")], ms(1)).is_empty(), "e is not ready in the list");
 }
 
 #[test]
 fn it_is_forgotten_long_after_the_last_list_that_names_it_and_no_telling_renews_it() {
     let mut table = Table::default();
-    table.leaves(run("e"), ms(0));
-    table.forget(|run_listed| run_listed == run("e"), LONG);
-    assert!(table.is_leaving(run("e")), "it is listed still");
-    let told: Vec<Told> = table.tell([run("e")], LONG);
-    table.forget(|_| false, ms(1000));
-    assert!(table.is_leaving(run("e")), "its entry may come back");
+    table.record_drain(run("e"), ms(0));
+    table.expire(|run_listed| run_listed == run("e"), LONG);
+    assert!(table.is_draining(run("e")), "it is listed still");
+    let told: Vec<Update> = table.updates([run("e")], LONG);
+    table.expire(|_| false, ms(1000));
+    assert!(table.is_draining(run("e")), "its entry may come back");
     let mut other = Table::default();
     other.merge(&told, LONG);
-    other.forget(|_| false, LONG);
-    assert!(!other.is_leaving(run("e")), "it counts from when it was said");
+    other.expire(|_| false, LONG);
+    assert!(!other.is_draining(run("e")), "it counts from when it was said");
 }
 
 #[test]
 fn a_rest_is_made_longer_and_never_shorter() {
     let mut table = Table::default();
-    table.rests(run("e"), ms(3000));
-    table.rests(run("e"), ms(2000));
-    assert_eq!(table.rests_until(run("e")), ms(3000));
-    table.rests(run("e"), ms(4000));
-    table.forget(|_| false, ms(3999));
-    assert_eq!(table.rests_until(run("e")), ms(4000));
-    table.forget(|_| true, ms(4000));
-    assert_eq!(table.rests_until(run("e")), ms(0));
+    table.record_backoff(run("e"), ms(3000));
+    table.record_backoff(run("e"), ms(2000));
+    assert_eq!(table.backoff_until(run("e")), ms(3000));
+    table.record_backoff(run("e"), ms(4000));
+    table.expire(|_| false, ms(3999));
+    assert_eq!(table.backoff_until(run("e")), ms(4000));
+    table.expire(|_| true, ms(4000));
+    assert_eq!(table.backoff_until(run("e")), ms(0));
 }
 
 #[test]
@@ -89,10 +89,10 @@
     let mut table = Table::default();
     let names: Vec<_> = (0..5000).map(|number| run(&number.to_string())).collect();
     for (number, name) in (0..).zip(&names) {
-        table.leaves(*name, ms(number));
+        table.record_drain(*name, ms(number));
     }
-    assert!(!table.is_leaving(names[0]) && table.is_leaving(names[4999]));
-    let told = table.tell(names.iter().copied(), ms(5000));
+    assert!(!table.is_draining(names[0]) && table.is_draining(names[4999]));
+    let told = table.updates(names.iter().copied(), ms(5000));
     assert!(told.len() < 64, "{} are too many for a datagram", told.len());
     assert_eq!(told[0].run, names[4999]);
 }
