--- a/crates/core/src/gateway/outage.rs
+++ b/crates/core/src/gateway/outage.rs
@@ -44,55 +44,55 @@
 
 /// What is known of this gateway's last outage of the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-// Invariant: `returned` is none while the platform does not answer.
+// Invariant: `ended` is none while the platform does not answer.
 pub struct Outage {
-    lost: Option<Duration>,
-    returned: Option<Duration>,
+    began: Option<Duration>,
+    ended: Option<Duration>,
     // When a call last should have been answered and was not, and the same before the return.
-    failed: Option<Duration>,
-    away: Option<Duration>,
+    last_failure: Option<Duration>,
+    last_unanswered: Option<Duration>,
     // The newest answers of the platform to anyone that are known of.
     answers: BTreeSet<Duration>,
     // Whether it answered another gateway in the midst of the outage.
-    own: bool,
+    local: bool,
 }
 
 impl Outage {
     /// Takes in that the platform has not answered this gateway since a time. Where it has
     /// since then, what waited for its answer has only been given up later.
-    pub fn lose(&mut self, since: Duration) {
-        let is_over = self.returned.is_some_and(|returned| returned < since);
-        if self.lost.is_none() || is_over {
-            (self.lost, self.returned, self.own) = (Some(since), None, false);
-        } else if self.returned.is_none() {
-            self.lost = self.lost.min(Some(since));
+    pub fn record_loss(&mut self, since: Duration) {
+        let is_over = self.ended.is_some_and(|ended| ended < since);
+        if self.began.is_none() || is_over {
+            (self.began, self.ended, self.local) = (Some(since), None, false);
+        } else if self.ended.is_none() {
+            self.began = self.began.min(Some(since));
         }
     }
 
     /// Takes in that a call should have been answered at a time, and was not.
-    pub fn failed(&mut self, due: Duration) {
-        self.failed = self.failed.max(Some(due));
+    pub fn record_failure(&mut self, due: Duration) {
+        self.last_failure = self.last_failure.max(Some(due));
     }
 
     /// Takes in that the platform answers this gateway again.
-    pub fn end(&mut self, now: Duration) {
-        if self.lost.is_some() && self.returned.is_none() {
-            self.returned = Some(now);
-            self.away = self.failed.map(|failed| failed.min(now));
+    pub fn record_return(&mut self, now: Duration) {
+        if self.began.is_some() && self.ended.is_none() {
+            self.ended = Some(now);
+            self.last_unanswered = self.last_failure.map(|failed| failed.min(now));
         }
     }
 
     /// When the platform was last known to be away before the return.
     #[must_use]
-    pub fn away(&self) -> Option<Duration> {
-        self.away
+    pub fn last_unanswered(&self) -> Option<Duration> {
+        self.last_unanswered
     }
 
     /// Takes in that the platform answered this gateway. Who lost it as well and is
     /// answered sooner than others does not tell them: it was not away for them only.
-    pub fn answered(&mut self, now: Duration) {
-        let recent = self.returned.is_none_or(|returned| now < returned + NOTICE);
-        if self.lost.is_none() || self.own || !recent {
+    pub fn record_answer(&mut self, now: Duration) {
+        let recent = self.ended.is_none_or(|ended| now < ended + NOTICE);
+        if self.began.is_none() || self.local || !recent {
             self.remember(now);
         }
     }
@@ -112,8 +112,8 @@
     /// When the platform answered this gateway again after the last outage; none while
     /// it does not, or where there was none.
     #[must_use]
-    pub fn returned(&self) -> Option<Duration> {
-        self.returned
+    pub fn ended(&self) -> Option<Duration> {
+        self.ended
     }
 
     /// Takes in how long ago the platform answered some gateway; whether this tells for
@@ -121,19 +121,19 @@
     ///
     /// The last answer alone would not do: whoever is cut off from all hears of it only
     /// after the outage, and by then it is of after the outage itself.
-    pub fn told(&mut self, answers: &[Ago], now: Duration) -> bool {
+    pub fn merge_answers(&mut self, answers: &[Ago], now: Duration) -> bool {
         let told: Vec<_> =
             answers.iter().filter_map(|ago| now.checked_sub(Duration::from(*ago))).collect();
         told.iter().for_each(|at| self.remember(*at));
-        let news = !self.own && told.iter().any(|at| self.is_in_midst(*at));
-        self.own |= news;
+        let news = !self.local && told.iter().any(|at| self.is_in_midst(*at));
+        self.local |= news;
         news
     }
 
     /// Whether a moment is in the midst of the outage.
     fn is_in_midst(&self, at: Duration) -> bool {
-        let after = self.lost.is_some_and(|lost| at > lost + MARGIN);
-        let before = self.returned.is_none_or(|returned| at + MARGIN < returned);
+        let after = self.began.is_some_and(|began| at > began + MARGIN);
+        let before = self.ended.is_none_or(|ended| at + MARGIN < ended);
         after && before
     }
 
@@ -146,7 +146,7 @@
 
     /// Whether only this gateway was cut off.
     #[must_use]
-    pub fn is_own(&self) -> bool {
-        self.own
+    pub fn is_local(&self) -> bool {
+        self.local
     }
 }
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -238,18 +238,18 @@
 
     /// Takes in that the platform should have answered a call at a time, and has not.
     pub fn platform_failed(&self, due: Duration) {
-        self.lock().outage.failed(due);
+        self.lock().outage.record_failure(due);
     }
 
     /// Takes in that the platform has not answered since a time.
     pub fn platform_lost(&self, since: Duration) {
-        self.lock().outage.lose(since);
+        self.lock().outage.record_loss(since);
     }
 
     /// Takes in that the platform has answered.
     pub fn platform_answered(&self) {
         let now = self.clock.now();
-        self.lock().outage.answered(now);
+        self.lock().outage.record_answer(now);
     }
 
     /// Takes in that the platform answers again after it had been away. Where it
@@ -257,10 +257,10 @@
     pub fn platform_returned(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.outage.end(now);
+        inner.outage.record_return(now);
         // Each kind of fact is read again at its own time; entries return from the first on.
-        if let Some(at) = inner.outage.returned().filter(|_| !inner.outage.is_own()) {
-            let away = inner.outage.away().unwrap_or(at);
+        if let Some(at) = inner.outage.ended().filter(|_| !inner.outage.is_local()) {
+            let away = inner.outage.last_unanswered().unwrap_or(at);
             inner.tracker.record_recovery(at, away);
         }
     }
@@ -269,7 +269,7 @@
     pub fn told_answers(&self, answers: &[Ago]) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        if !inner.outage.told(answers, now) {
+        if !inner.outage.merge_answers(answers, now) {
             return;
         }
         drop(inner);
