--- a/crates/core/src/gateway/region.rs
+++ b/crates/core/src/gateway/region.rs
@@ -24,7 +24,7 @@
 const ALL_READERS: usize = 4;
 
 /// How often one that reads tells the others of its region what it knows.
-pub const BEACON: Duration = Duration::from_millis(200);
+pub const BEACON_INTERVAL: Duration = Duration::from_millis(200);
 
 /// For how long it may be silent: three beacons in a row are seldom lost, and what is left
 /// of the time in which a configuration has to be in force is enough to read it.
@@ -65,7 +65,7 @@
 
 /// What a gateway says of itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct Announcement {
     /// Its region.
     pub region: Region,
     /// Whether it reads the configuration, and the platform answers it.
@@ -85,18 +85,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// It asks one of its own region.
-    AskNear(SocketAddr),
+    FetchNear(SocketAddr),
     /// It asks one of another region.
-    AskFar(SocketAddr),
+    FetchFar(SocketAddr),
     /// It waits.
     Wait(Duration),
     /// Nobody is known who has more, or was not asked since it said so.
-    Rest,
+    Idle,
 }
 
 #[derive(Debug, Clone)]
 struct Peer {
-    standing: Standing,
+    announcement: Announcement,
     rank: Key,
     heard: Duration,
     // The version that it may be asked for; zero once it was.
@@ -106,7 +106,7 @@
 impl Peer {
     /// Whether it reads, and lives.
     fn reads_at(&self, now: Duration) -> bool {
-        self.standing.reads && self.heard + SILENCE >= now
+        self.announcement.reads && self.heard + SILENCE >= now
     }
 }
 
@@ -120,7 +120,7 @@
     // Whether the platform answers this one.
     answered: bool,
     // Whether this one is about to stop: all others come before it then.
-    resigned: bool,
+    draining: bool,
     // Since when too few read who come before this one; none while enough do.
     short_since: Option<Duration>,
 }
@@ -134,58 +134,59 @@
 
     /// Takes in that another gateway said what it is and which version it has; true when it
     /// was not heard of before.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         from: SocketAddr,
-        standing: &Standing,
+        announcement: &Announcement,
         version: u64,
         now: Duration,
     ) -> bool {
         self.peers.retain(|_, peer| peer.heard + GONE >= now);
-        let peer = Peer { standing: standing.clone(), rank: rank(from), heard: now, version };
+        let peer =
+            Peer { announcement: announcement.clone(), rank: rank(from), heard: now, version };
         self.peers.insert(from, peer).is_none()
     }
 
     /// Adds a gateway of which others say in which region it is, unless it is known.
-    pub fn name(&mut self, gateway: SocketAddr, region: Region, now: Duration) {
-        let standing = Standing { region, reads: false };
-        let peer = Peer { standing, rank: rank(gateway), heard: now, version: 0 };
+    pub fn add(&mut self, gateway: SocketAddr, region: Region, now: Duration) {
+        let announcement = Announcement { region, reads: false };
+        let peer = Peer { announcement, rank: rank(gateway), heard: now, version: 0 };
         self.peers.entry(gateway).or_insert(peer);
     }
 
     /// The region of a gateway, where it is known.
     #[must_use]
     pub fn region_of(&self, gateway: SocketAddr) -> Option<&Region> {
-        self.peers.get(&gateway).map(|peer| &peer.standing.region)
+        self.peers.get(&gateway).map(|peer| &peer.announcement.region)
     }
 
     /// The other gateways that are known of a region.
     #[must_use]
-    pub fn gateways_of(&self, region: &Region) -> Vec<SocketAddr> {
-        let of_region = self.peers.iter().filter(|(_, peer)| peer.standing.region == *region);
+    pub fn gateways_in(&self, region: &Region) -> Vec<SocketAddr> {
+        let of_region = self.peers.iter().filter(|(_, peer)| peer.announcement.region == *region);
         of_region.map(|(gateway, _)| *gateway).collect()
     }
 
     /// Whether a gateway is known to be of this region.
     #[must_use]
-    pub fn is_neighbour(&self, gateway: SocketAddr) -> bool {
+    pub fn is_local(&self, gateway: SocketAddr) -> bool {
         self.region_of(gateway) == Some(&self.region)
     }
 
     /// Takes in whether the platform answers this gateway.
-    pub fn answered(&mut self, answered: bool) {
+    pub fn set_platform_answers(&mut self, answered: bool) {
         self.answered = answered;
     }
 
     /// Takes in that this gateway is about to stop: it reads only where no other one does,
     /// and says so while those who are to take over have time to.
-    pub fn resign(&mut self) {
-        self.resigned = true;
+    pub fn start_draining(&mut self) {
+        self.draining = true;
         self.short_since = None;
     }
 
     /// Takes in that a gateway was asked; it is not asked again before it says more.
-    pub fn asked(&mut self, gateway: SocketAddr) {
+    pub fn record_query(&mut self, gateway: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&gateway) {
             peer.version = 0;
         }
@@ -203,7 +204,7 @@
             return Role::Follower;
         }
         let since = *self.short_since.get_or_insert(now);
-        let others = self.before(now).filter(|peer| !peer.standing.reads).count();
+        let others = self.before(now).filter(|peer| !peer.announcement.reads).count();
         let turn = turn((others + 1).saturating_sub(missing));
         if since + turn <= now { Role::Reader } else { Role::Follower }
     }
@@ -221,22 +222,22 @@
 
     /// What this gateway says of itself.
     #[must_use]
-    pub fn standing(&mut self, regions: usize, now: Duration) -> Standing {
+    pub fn announcement(&mut self, regions: usize, now: Duration) -> Announcement {
         let role = self.role(regions, now);
         let reads = role == Role::Reader && self.answered;
-        Standing { region: self.region.clone(), reads }
+        Announcement { region: self.region.clone(), reads }
     }
 
     /// Whether this gateway tells other regions of news: it reads, or no other gateway of the
     /// region is heard to.
-    pub fn tells_far(&mut self, regions: usize, now: Duration) -> bool {
+    pub fn sends_to_other_regions(&mut self, regions: usize, now: Duration) -> bool {
         let others_read = self.peers.values().any(|peer| self.is_near(peer) && peer.reads_at(now));
         !others_read || self.role(regions, now) == Role::Reader
     }
 
     /// The gateways of the region besides this one.
     #[must_use]
-    pub fn neighbours(&self) -> Vec<SocketAddr> {
+    pub fn local_peers(&self) -> Vec<SocketAddr> {
         let near = self.peers.iter().filter(|(_, peer)| self.is_near(peer));
         near.map(|(gateway, _)| *gateway).collect()
     }
@@ -244,19 +245,26 @@
     /// How a gateway goes on that has a version, and has known of a newer one for a time;
     /// `draw` is drawn evenly between 0 and 1.
     #[must_use]
-    pub fn step(&self, has: u64, behind: Duration, role: Role, now: Duration, draw: f64) -> Step {
+    pub fn next_step(
+        &self,
+        has: u64,
+        behind: Duration,
+        role: Role,
+        now: Duration,
+        draw: f64,
+    ) -> Step {
         if let Some(near) = self.holder(has, true, draw) {
-            return Step::AskNear(near);
+            return Step::FetchNear(near);
         }
         let Some(far) = self.holder(has, false, draw) else {
-            return Step::Rest;
+            return Step::Idle;
         };
         let patience = match role {
             Role::Reader => OWN_WORD,
             Role::Follower => NEARBY + turn(self.before(now).count()),
         };
         match patience.saturating_sub(behind) {
-            Duration::ZERO => Step::AskFar(far),
+            Duration::ZERO => Step::FetchFar(far),
             left => Step::Wait(left),
         }
     }
@@ -264,7 +272,7 @@
     /// How long one that follows waits for the others, when it knows of a newer version,
     /// before it reads by itself.
     #[must_use]
-    pub fn patience(&self, now: Duration) -> Duration {
+    pub fn own_read_delay(&self, now: Duration) -> Duration {
         ALONE + turn(self.before(now).count())
     }
 
@@ -283,12 +291,12 @@
         let patience = gossip::patience(self.peers.len());
         let near = self.peers.values().filter(|peer| self.is_near(peer));
         near.filter(move |peer| {
-            (self.resigned || peer.rank > self.rank) && peer.heard + patience >= now
+            (self.draining || peer.rank > self.rank) && peer.heard + patience >= now
         })
     }
 
     fn is_near(&self, peer: &Peer) -> bool {
-        peer.standing.region == self.region
+        peer.announcement.region == self.region
     }
 }
 
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -69,7 +69,7 @@
                 relay.fetch_from_others().await;
                 relay.awaiting_configuration.store(false, Ordering::SeqCst);
                 // What was told just before that began no other draw.
-                let is_done = relay.state.next_step(0.0) == Step::Rest;
+                let is_done = relay.state.next_step(0.0) == Step::Idle;
                 if is_done || relay.awaiting_configuration.swap(true, Ordering::SeqCst) {
                     return;
                 }
@@ -81,13 +81,13 @@
     async fn fetch_from_others(&self) {
         loop {
             let (gateway, pause) = match self.state.next_step(rand::random()) {
-                Step::AskNear(gateway) => (gateway, NEAR_PAUSE),
-                Step::AskFar(gateway) => (gateway, FAR_PAUSE),
+                Step::FetchNear(gateway) => (gateway, NEAR_PAUSE),
+                Step::FetchFar(gateway) => (gateway, FAR_PAUSE),
                 Step::Wait(time) => {
                     sleep(time.min(LOOK)).await;
                     continue;
                 }
-                Step::Rest => return,
+                Step::Idle => return,
             };
             self.state.asked_gateway(gateway);
             if self.state.role() == Role::Reader {
--- a/src/cinderspoke/gateway/message.rs
+++ b/src/cinderspoke/gateway/message.rs
@@ -16,7 +16,7 @@
 use cinderspoke_core::gateway::name::{Region, Service, Zone};
 use cinderspoke_core::gateway::notice;
 use cinderspoke_core::gateway::outage::Ago;
-use cinderspoke_core::gateway::region::{self, Standing};
+use cinderspoke_core::gateway::region::{self, Announcement};
 use cinderspoke_core::gateway::rollout::Rollout;
 use cinderspoke_core::gateway::suspect::Update;
 use cinderspoke_core::gateway::tally::Outstanding;
@@ -40,7 +40,7 @@
     /// The last revision of the store at which that one is known to be the newest.
     pub configuration_revision: Revision,
     /// What the process is, if it is a gateway.
-    pub standing: Standing,
+    pub announcement: Announcement,
     /// The versions that were named, and for how long.
     pub ages: Ages,
     /// The last revision of the store at which those are known to be all.
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -8,7 +8,7 @@
 use cinderspoke_core::gateway::difference::{ApplyError, Difference, Hash};
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::name::Region;
-use cinderspoke_core::gateway::region::{Role, Standing, Step, Table, Tag};
+use cinderspoke_core::gateway::region::{Announcement, Role, Step, Table, Tag};
 
 use super::message::{Configuration, Known, Named};
 use super::state::State;
@@ -19,7 +19,7 @@
     pub fn heard(&self, from: SocketAddr, known: &Known) -> bool {
         let (now, version) = (self.clock().now(), known.configuration);
         let mut inner = self.lock();
-        let is_new = inner.region.hear(from, &known.standing, version, now);
+        let is_new = inner.region.observe(from, &known.announcement, version, now);
         let in_force = inner.version();
         if version == in_force {
             // It still is the newest then: history that is too old is forgotten.
@@ -59,12 +59,12 @@
     #[must_use]
     pub fn is_left_behind(&self) -> bool {
         let behind = self.configuration_behind();
-        behind > self.lock().region.patience(self.clock().now())
+        behind > self.lock().region.own_read_delay(self.clock().now())
     }
 
     /// Takes in whether the store answers this gateway when it asks for the configuration.
     pub fn configuration_answered(&self, answered: bool) {
-        self.lock().region.answered(answered);
+        self.lock().region.set_platform_answers(answered);
     }
 
     /// Whether this gateway reads the configuration from the store as it changes.
@@ -75,7 +75,7 @@
 
     /// Has another gateway read the configuration, as this one is about to stop.
     pub fn resign(&self) {
-        self.lock().region.resign();
+        self.lock().region.start_draining();
     }
 
     /// How many gateways read it.
@@ -86,8 +86,8 @@
 
     /// What this gateway says of itself.
     #[must_use]
-    pub fn standing(&self) -> Standing {
-        self.lock().region.standing(self.terms().region_count(), self.clock().now())
+    pub fn announcement(&self) -> Announcement {
+        self.lock().region.announcement(self.terms().region_count(), self.clock().now())
     }
 
     /// Adds a gateway that others name; true when it was not known and is to be greeted: it
@@ -100,8 +100,8 @@
         let Some(region) = region else { return is_new };
         let now = self.clock().now();
         let mut inner = self.lock();
-        inner.region.name(gateway.address, region, now);
-        is_new && inner.region.is_neighbour(gateway.address)
+        inner.region.add(gateway.address, region, now);
+        is_new && inner.region.is_local(gateway.address)
     }
 
     /// Some gateways as they are named to others.
@@ -116,25 +116,25 @@
     /// The other gateways that are known of a region.
     #[must_use]
     pub fn gateways_of(&self, region: &Region) -> Vec<SocketAddr> {
-        self.lock().region.gateways_of(region)
+        self.lock().region.gateways_in(region)
     }
 
     /// Whether a gateway is known to be of this region.
     #[must_use]
     pub fn is_neighbour(&self, gateway: SocketAddr) -> bool {
-        self.lock().region.is_neighbour(gateway)
+        self.lock().region.is_local(gateway)
     }
 
     /// Whether this gateway tells other regions of news.
     #[must_use]
     pub fn tells_far(&self) -> bool {
-        self.lock().region.tells_far(self.terms().region_count(), self.clock().now())
+        self.lock().region.sends_to_other_regions(self.terms().region_count(), self.clock().now())
     }
 
     /// The other gateways of the region.
     #[must_use]
     pub fn neighbours(&self) -> Vec<SocketAddr> {
-        self.lock().region.neighbours()
+        self.lock().region.local_peers()
     }
 
     /// How the configuration is got, if another gateway has a newer one.
@@ -142,12 +142,12 @@
     pub fn next_step(&self, draw: f64) -> Step {
         let (role, behind) = (self.role(), self.configuration_behind());
         let inner = self.lock();
-        inner.region.step(inner.version(), behind, role, self.clock().now(), draw)
+        inner.region.next_step(inner.version(), behind, role, self.clock().now(), draw)
     }
 
     /// Takes in that a gateway was asked for its configuration.
     pub fn asked_gateway(&self, gateway: SocketAddr) {
-        self.lock().region.asked(gateway);
+        self.lock().region.record_query(gateway);
     }
 
     /// The version of the configuration in force, and what tells it apart from others.
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -176,7 +176,7 @@
             self.fetch_list(from, &known);
         }
         if is_behind || is_stranger {
-            send(&self.socket, from, &self.digest_for(&known.standing.region)).await;
+            send(&self.socket, from, &self.digest_for(&known.announcement.region)).await;
         }
     }
 
@@ -258,7 +258,9 @@
                     Role::Follower => tracing::info!(behind_ms, "configuration is had from others"),
                 }
             }
-            if role == before && (role == Role::Follower || told.elapsed() < region::BEACON) {
+            if role == before
+                && (role == Role::Follower || told.elapsed() < region::BEACON_INTERVAL)
+            {
                 continue;
             }
             told = Instant::now();
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -386,8 +386,8 @@
     #[must_use]
     pub fn known(&self) -> Known {
         let now = self.clock.now();
-        let (suspects, standing) = (self.suspects.tell(now), self.standing());
-        Known { suspects, standing, ..self.lock().known(now) }
+        let (suspects, announcement) = (self.suspects.tell(now), self.announcement());
+        Known { suspects, announcement, ..self.lock().known(now) }
     }
 
     /// The list of endpoints.
--- a/tests/testsuite/gateway/region.rs
+++ b/tests/testsuite/gateway/region.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cinderspoke_core::gateway::region::{BEACON, Role, Standing, Step, Table};
+use cinderspoke_core::gateway::region::{Announcement, BEACON_INTERVAL, Role, Step, Table};
 
 use yare::parameterized;
 
@@ -45,9 +45,9 @@
         while self.now < until {
             self.now += LOOK;
             for teller in self.living() {
-                let standing = self.tables[teller].standing(self.regions, self.now);
+                let announcement = self.tables[teller].announcement(self.regions, self.now);
                 for other in self.living().into_iter().filter(|other| *other != teller) {
-                    self.tables[other].hear(address(teller as u16), &standing, 1, self.now);
+                    self.tables[other].observe(address(teller as u16), &announcement, 1, self.now);
                 }
             }
         }
@@ -65,12 +65,12 @@
     }
 }
 
-fn near() -> Standing {
-    Standing { region: "near".into(), reads: false }
+fn near() -> Announcement {
+    Announcement { region: "near".into(), reads: false }
 }
 
-fn far() -> Standing {
-    Standing { region: "far".into(), reads: true }
+fn far() -> Announcement {
+    Announcement { region: "far".into(), reads: true }
 }
 
 #[parameterized(
@@ -94,7 +94,7 @@
 fn a_gateway_that_knows_of_no_other_in_its_region_reads_at_once() {
     let mut alone = Table::new(address(0), "near".into());
     for number in 1..20 {
-        alone.hear(address(number), &far(), 1, ms(0));
+        alone.observe(address(number), &far(), 1, ms(0));
     }
     assert_eq!(alone.role(REGIONS, ms(0)), Role::Reader);
 }
@@ -121,9 +121,9 @@
     let before = region.readers();
     assert!(before.iter().all(|reader| lost.contains(reader)));
     region.lost = lost;
-    region.pass(BEACON * 3 - LOOK);
+    region.pass(BEACON_INTERVAL * 3 - LOOK);
     assert!(region.readers().is_empty());
-    region.pass(within - BEACON * 3 + LOOK);
+    region.pass(within - BEACON_INTERVAL * 3 + LOOK);
     assert_eq!(region.readers().len(), 2);
     region.pass(ms(2000));
     assert_eq!(region.readers().len(), 2);
@@ -134,7 +134,7 @@
 fn a_reader_that_is_about_to_stop_is_replaced_before_it_ends() {
     let mut region = Region::spawn(20, REGIONS);
     let before = region.readers();
-    region.tables[before[0]].resign();
+    region.tables[before[0]].start_draining();
     region.pass(ms(400));
     let reading = region.readers();
     assert_eq!(reading.len(), 2);
@@ -144,10 +144,10 @@
 #[test]
 fn one_that_is_about_to_stop_reads_on_where_no_other_one_is() {
     let mut region = Region::spawn(1, REGIONS);
-    region.tables[0].resign();
+    region.tables[0].start_draining();
     assert_eq!(region.readers(), [0]);
     let mut region = Region::spawn(4, REGIONS);
-    region.tables.iter_mut().for_each(Table::resign);
+    region.tables.iter_mut().for_each(Table::start_draining);
     region.pass(ms(2000));
     assert!(!region.readers().is_empty(), "all stop at once");
 }
@@ -156,12 +156,12 @@
 fn a_reader_that_the_platform_does_not_answer_is_replaced_until_it_does() {
     let mut region = Region::spawn(20, REGIONS);
     let before = region.readers();
-    region.tables[before[0]].answered(false);
+    region.tables[before[0]].set_platform_answers(false);
     region.pass(ms(500));
     let reading = region.readers();
     assert_eq!(reading.len(), 3, "it still tries");
     assert!(before.iter().all(|number| reading.contains(number)));
-    region.tables[before[0]].answered(true);
+    region.tables[before[0]].set_platform_answers(true);
     region.pass(ms(500));
     assert_eq!(region.readers(), before);
 }
@@ -170,7 +170,7 @@
 fn all_read_where_the_platform_answers_nobody() {
     let mut region = Region::spawn(20, REGIONS);
     for _ in 0..20 {
-        region.tables.iter_mut().for_each(|table| table.answered(false));
+        region.tables.iter_mut().for_each(|table| table.set_platform_answers(false));
         region.pass(LOOK);
     }
     assert_eq!(region.readers().len(), 20);
@@ -179,20 +179,20 @@
 #[test]
 fn one_of_the_region_is_asked_at_once_and_before_any_other() {
     let mut table = Table::new(address(0), "near".into());
-    table.hear(address(1), &far(), 9, ms(0));
-    table.hear(address(2), &near(), 8, ms(0));
-    let step = table.step(7, ms(5000), Role::Follower, ms(0), 0.5);
-    assert_eq!(step, Step::AskNear(address(2)));
+    table.observe(address(1), &far(), 9, ms(0));
+    table.observe(address(2), &near(), 8, ms(0));
+    let step = table.next_step(7, ms(5000), Role::Follower, ms(0), 0.5);
+    assert_eq!(step, Step::FetchNear(address(2)));
 }
 
 #[test]
 fn the_newest_of_the_region_is_asked_for() {
     let mut table = Table::new(address(0), "near".into());
     for (number, version) in [(1, 8), (2, 9), (3, 9), (4, 7)] {
-        table.hear(address(number), &near(), version, ms(0));
+        table.observe(address(number), &near(), version, ms(0));
     }
     for draw in [0.0, 0.3, 0.7, 1.0] {
-        let Step::AskNear(asked) = table.step(7, ms(0), Role::Reader, ms(0), draw) else {
+        let Step::FetchNear(asked) = table.next_step(7, ms(0), Role::Reader, ms(0), draw) else {
             panic!("one is asked");
         };
         assert!([address(2), address(3)].contains(&asked));
@@ -202,12 +202,12 @@
 #[test]
 fn a_follower_waits_for_its_region_before_it_asks_far_away() {
     let mut table = Table::new(address(0), "near".into());
-    table.hear(address(1), &far(), 9, ms(0));
-    let step = |role, behind| table.step(7, behind, role, ms(0), 0.5);
+    table.observe(address(1), &far(), 9, ms(0));
+    let step = |role, behind| table.next_step(7, behind, role, ms(0), 0.5);
     assert_eq!(step(Role::Follower, ms(100)), Step::Wait(ms(300)));
-    assert_eq!(step(Role::Follower, ms(400)), Step::AskFar(address(1)));
+    assert_eq!(step(Role::Follower, ms(400)), Step::FetchFar(address(1)));
     assert_eq!(step(Role::Reader, ms(20)), Step::Wait(ms(40)));
-    assert_eq!(step(Role::Reader, ms(60)), Step::AskFar(address(1)));
+    assert_eq!(step(Role::Reader, ms(60)), Step::FetchFar(address(1)));
 }
 
 // Were all of a region to ask far away at the same moment, they would fill the link.
@@ -216,10 +216,10 @@
     let mut region = Region::spawn(40, REGIONS);
     let now = region.now;
     for table in &mut region.tables {
-        table.hear(address(100), &far(), 9, now);
+        table.observe(address(100), &far(), 9, now);
     }
     let asks = |table: &Table, behind| {
-        table.step(1, behind, Role::Follower, now, 0.5) == Step::AskFar(address(100))
+        table.next_step(1, behind, Role::Follower, now, 0.5) == Step::FetchFar(address(100))
     };
     let asking = |behind| region.tables.iter().filter(|table| asks(table, behind)).count();
     assert_eq!(asking(ms(399)), 0);
@@ -231,12 +231,12 @@
 #[test]
 fn whoever_was_asked_is_not_asked_again_before_it_says_more() {
     let mut table = Table::new(address(0), "near".into());
-    assert!(table.hear(address(1), &near(), 8, ms(0)), "it was not known");
-    table.asked(address(1));
-    assert_eq!(table.step(7, ms(0), Role::Follower, ms(0), 0.5), Step::Rest);
-    assert!(!table.hear(address(1), &near(), 8, ms(0)));
-    assert_eq!(table.step(7, ms(0), Role::Follower, ms(0), 0.5), Step::AskNear(address(1)));
-    assert_eq!(table.step(8, ms(0), Role::Follower, ms(0), 0.5), Step::Rest);
+    assert!(table.observe(address(1), &near(), 8, ms(0)), "it was not known");
+    table.record_query(address(1));
+    assert_eq!(table.next_step(7, ms(0), Role::Follower, ms(0), 0.5), Step::Idle);
+    assert!(!table.observe(address(1), &near(), 8, ms(0)));
+    assert_eq!(table.next_step(7, ms(0), Role::Follower, ms(0), 0.5), Step::FetchNear(address(1)));
+    assert_eq!(table.next_step(8, ms(0), Role::Follower, ms(0), 0.5), Step::Idle);
 }
 
 // Instances are replaced at other addresses as long as the others run.
@@ -244,8 +244,8 @@
 fn gateways_that_are_gone_are_forgotten() {
     let mut table = Table::new(address(0), "near".into());
     for number in 1..2000 {
-        table.hear(address(number), &near(), 1, ms(1000 * u64::from(number)));
+        table.observe(address(number), &near(), 1, ms(1000 * u64::from(number)));
     }
-    assert!(table.neighbours().len() < 700, "{} are kept", table.neighbours().len());
-    assert!(table.neighbours().contains(&address(1999)));
+    assert!(table.local_peers().len() < 700, "{} are kept", table.local_peers().len());
+    assert!(table.local_peers().contains(&address(1999)));
 }
