--- a/crates/core/src/gateway/lag.rs
+++ b/crates/core/src/gateway/lag.rs
@@ -16,7 +16,7 @@
 
 impl Lag {
     /// Takes in that a version is there; true when none as new was known.
-    pub fn hear(&mut self, version: u64, now: Duration) -> bool {
+    pub fn record(&mut self, version: u64, now: Duration) -> bool {
         if version <= self.newest() {
             return false;
         }
--- a/crates/core/src/gateway/region.rs
+++ b/crates/core/src/gateway/region.rs
@@ -288,7 +288,7 @@
 
     /// The gateways of the region that come before this one in rank, as far as is known.
     fn before(&self, now: Duration) -> impl Iterator<Item = &Peer> {
-        let patience = gossip::patience(self.peers.len());
+        let patience = gossip::liveness_timeout(self.peers.len());
         let near = self.peers.values().filter(|peer| self.is_near(peer));
         near.filter(move |peer| {
             (self.draining || peer.rank > self.rank) && peer.heard + patience >= now
--- a/crates/core/src/gateway/rollout.rs
+++ b/crates/core/src/gateway/rollout.rs
@@ -27,7 +27,7 @@
 
 impl Rollout {
     /// Takes in that a version was named; true when it is newer than what was known.
-    pub fn name(&mut self, model: Model, version: Version) -> bool {
+    pub fn advance(&mut self, model: Model, version: Version) -> bool {
         let known = self.0.entry(model).or_insert(FIRST);
         let newer = version > *known;
         *known = version.max(*known);
@@ -54,7 +54,7 @@
 
     /// Takes in what another process knows; true when any of it was news.
     pub fn merge(&mut self, other: &Self) -> bool {
-        let named = other.0.iter().map(|(model, version)| self.name(model.clone(), *version));
+        let named = other.0.iter().map(|(model, version)| self.advance(model.clone(), *version));
         named.fold(false, |any, newer| any | newer)
     }
 }
--- a/crates/core/src/gateway/timeline.rs
+++ b/crates/core/src/gateway/timeline.rs
@@ -68,7 +68,7 @@
         let mut rollout = Rollout::default();
         for (model, versions) in &self.0 {
             if let Some((newest, _)) = versions.last_key_value() {
-                rollout.name(model.clone(), *newest);
+                rollout.advance(model.clone(), *newest);
             }
         }
         rollout
@@ -145,7 +145,7 @@
 impl Timeline {
     /// Takes in that versions have the given age now; true when any is news or is
     /// better known than before.
-    pub fn learn(&mut self, rollout: &Rollout, age: Age, now: Duration) -> bool {
+    pub fn record(&mut self, rollout: &Rollout, age: Age, now: Duration) -> bool {
         let noted = rollout.iter().map(|(model, version)| self.note(model, version, age, now));
         noted.fold(false, |any, better| any | better)
     }
@@ -188,7 +188,7 @@
     /// How much longer a version may begin requests, so long after a newer one
     /// was named; none while it is the newest.
     #[must_use]
-    pub fn left(
+    pub fn remaining(
         &self,
         model: &Model,
         version: Version,
--- a/crates/core/src/gateway/watch.rs
+++ b/crates/core/src/gateway/watch.rs
@@ -11,19 +11,19 @@
 /// Where the connections of all go silent at once, the first who asks anew learns of
 /// what came meanwhile and tells the others. Each call is paid for, so they share
 /// them: with three kinds of facts it is four calls a second, whatever their number.
-const ASK_EVERY: Duration = Duration::from_millis(750);
+const CALL_INTERVAL: Duration = Duration::from_millis(750);
 
 /// How often all gateways that have news from others together look for them by themselves.
 ///
 /// It is for the case that all who read are deaf at once. Each look at a moment at which
 /// there is news brings all of it over the link that the others were to spare.
-const LOOK_EVERY: Duration = Duration::from_secs(3);
+const POLL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// The least wait: a single gateway asks for each kind of fact twice a second at most.
-const LEAST_WAIT: Duration = Duration::from_millis(500);
+const MIN_WAIT: Duration = Duration::from_millis(500);
 
 /// The longest wait that the platform grants.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// How much later than its wait a call may answer before the next one is made: a slow
 /// platform takes about 0.3 s, and the sum of wait and margin is what silence costs.
@@ -36,10 +36,10 @@
 pub const LATE_CALLS: usize = 2;
 
 /// How long a watch that is in doubt may still bring its news by itself.
-pub const DOUBT: Duration = Duration::from_millis(400);
+pub const RESYNC_GRACE: Duration = Duration::from_millis(400);
 
 /// How many failures in a row mean that the platform was away.
-pub const AWAY: u32 = 2;
+pub const OUTAGE_FAILURES: u32 = 2;
 
 /// How old news may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,15 +54,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Watch {
     // When the platform last answered.
-    heard: Duration,
+    answered: Duration,
     // When the platform last gave an answer that left nothing out.
-    whole: Duration,
+    complete: Duration,
     // How many calls in a row have failed, and since when nothing was answered that
     // should have been.
     failures: u32,
-    away: Duration,
+    unanswered_since: Duration,
     // Whether anything went amiss since the last whole answer.
-    amiss: bool,
+    degraded: bool,
     // Whether nothing was waited for since the last answer, though nothing went amiss.
     paused: bool,
 }
@@ -71,7 +71,14 @@
     /// A watch that has heard nothing so far.
     #[must_use]
     pub fn new(now: Duration) -> Self {
-        Self { heard: now, whole: now, failures: 0, away: now, amiss: false, paused: false }
+        Self {
+            answered: now,
+            complete: now,
+            failures: 0,
+            unanswered_since: now,
+            degraded: false,
+            paused: false,
+        }
     }
 
     /// How many calls in a row have failed.
@@ -82,53 +89,53 @@
 
     /// How long ago the platform last answered.
     #[must_use]
-    pub fn unheard(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.heard)
+    pub fn since_last_answer(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.answered)
     }
 
     /// How long the next call waits for news, as [`wait`] says. Where something went
     /// amiss it is short, so that what is sound soon shows it.
     #[must_use]
     pub fn wait(&self, gateways: usize, draw: f64) -> Duration {
-        if self.amiss { LEAST_WAIT } else { wait(gateways, draw) }
+        if self.degraded { MIN_WAIT } else { wait(gateways, draw) }
     }
 
     /// How long a gateway that has news from others lets pass until the next call, as
     /// [`pause`] says, or a short time where something went amiss.
     #[must_use]
-    pub fn pause(&self, gateways: usize, draw: f64) -> Duration {
-        if self.amiss { LEAST_WAIT } else { pause(gateways, draw) }
+    pub fn poll_interval(&self, gateways: usize, draw: f64) -> Duration {
+        if self.degraded { MIN_WAIT } else { poll_interval(gateways, draw) }
     }
 
     /// Takes in that a call has failed, which should have been answered at a time.
-    pub fn fail(&mut self, due: Duration) {
+    pub fn record_failure(&mut self, due: Duration) {
         if self.failures == 0 {
-            self.away = due;
+            self.unanswered_since = due;
         }
         self.failures += 1;
-        self.amiss = true;
+        self.degraded = true;
     }
 
     /// Since when the platform has not answered what it should have, while calls fail.
     #[must_use]
-    pub fn away_since(&self) -> Duration {
-        self.away
+    pub fn unanswered_since(&self) -> Duration {
+        self.unanswered_since
     }
 
     /// Notes that the next call does not follow the one before it without a pause: what it
     /// brings may be as old as that.
-    pub fn paused(&mut self) {
+    pub fn record_pause(&mut self) {
         self.paused = true;
     }
 
     /// Notes that others told, at a time, all that there was until then.
-    pub fn told(&mut self, at: Duration) {
-        self.whole = self.whole.max(at);
+    pub fn record_peer_sync(&mut self, at: Duration) {
+        self.complete = self.complete.max(at);
     }
 
     /// Takes in that the call was given up for a new one.
-    pub fn give_up(&mut self) {
-        self.amiss = true;
+    pub fn abandon(&mut self) {
+        self.degraded = true;
     }
 
     /// How old the news in an answer may be that comes now.
@@ -137,28 +144,28 @@
     /// calls since: it turns some gateways away and goes on for others and operators.
     #[must_use]
     pub fn freshness(&self, now: Duration) -> Freshness {
-        let since = now.saturating_sub(self.whole);
-        if self.amiss || self.paused { Freshness::Within(since) } else { Freshness::New }
+        let since = now.saturating_sub(self.complete);
+        if self.degraded || self.paused { Freshness::Within(since) } else { Freshness::New }
     }
 
     /// Takes in an answer that leaves nothing out.
-    pub fn hear(&mut self, now: Duration) {
+    pub fn record_complete(&mut self, now: Duration) {
         *self = Self::new(now);
     }
 
     /// Takes in an answer by which the platform has forgotten what came since the last
     /// one; that is in what is read next.
-    pub fn miss(&mut self, now: Duration) {
-        (self.heard, self.failures, self.amiss) = (now, 0, true);
+    pub fn record_gap(&mut self, now: Duration) {
+        (self.answered, self.failures, self.degraded) = (now, 0, true);
     }
 }
 
 /// How long a gateway that has news from others lets pass until it looks by itself, where so
 /// many do; `draw` is drawn evenly between 0 and 1.
 #[must_use]
-pub fn pause(gateways: usize, draw: f64) -> Duration {
+pub fn poll_interval(gateways: usize, draw: f64) -> Duration {
     let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
-    (LOOK_EVERY.saturating_mul(gateways) * 2).mul_f64(draw.clamp(0.0, 1.0)).max(LEAST_WAIT)
+    (POLL_INTERVAL.saturating_mul(gateways) * 2).mul_f64(draw.clamp(0.0, 1.0)).max(MIN_WAIT)
 }
 
 /// How long a watch waits for news, where so many gateways share the asking; `draw` is
@@ -169,6 +176,6 @@
 #[must_use]
 pub fn wait(gateways: usize, draw: f64) -> Duration {
     let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
-    let mean = ASK_EVERY.saturating_mul(gateways).min(LONGEST_WAIT / 2);
-    (mean * 2).mul_f64(draw.clamp(0.0, 1.0)).max(LEAST_WAIT)
+    let mean = CALL_INTERVAL.saturating_mul(gateways).min(MAX_WAIT / 2);
+    (mean * 2).mul_f64(draw.clamp(0.0, 1.0)).max(MIN_WAIT)
 }
--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -12,7 +12,7 @@
 
 use cinderspoke_core::gateway::fact::Revision;
 use cinderspoke_core::gateway::region::Role;
-use cinderspoke_core::gateway::watch::{AWAY, DOUBT, LATE_CALLS, MARGIN, Watch};
+use cinderspoke_core::gateway::watch::{LATE_CALLS, MARGIN, OUTAGE_FAILURES, RESYNC_GRACE, Watch};
 use cinderspoke_ports::Error;
 use cinderspoke_ports::client::Progress;
 use cinderspoke_ports::gateway::Registry;
@@ -111,13 +111,13 @@
         let mut wait = watch.wait(askers, draw);
         let is_known = revision.or(source.known()).is_some() && !is_forgotten;
         if is_known && source.role() == Role::Follower {
-            pass(watch.pause(askers, draw), &*source, clock).await;
-            watch.paused();
+            pass(watch.poll_interval(askers, draw), &*source, clock).await;
+            watch.record_pause();
             wait = Duration::ZERO;
         }
         if !is_forgotten {
             revision = revision.max(source.known());
-            watch.told(source.told_at());
+            watch.record_peer_sync(source.told_at());
         }
         let suspended = clock.suspended();
         let progress = Progress::default();
@@ -132,7 +132,7 @@
             Asked::Answered(answer) => {
                 if clock.was_suspended_since(suspended) {
                     // It may have lain here since long before.
-                    watch.give_up();
+                    watch.abandon();
                 }
                 let before = revision;
                 revision = take_in(answer, &*source, &state, &mut watch);
@@ -145,7 +145,7 @@
             }
             Asked::Failed(error) => {
                 let due = clock.now();
-                watch.fail(due);
+                watch.record_failure(due);
                 source.answered(false);
                 state.platform_failed(due);
                 draw::given_up(source.name(), &progress);
@@ -154,7 +154,7 @@
             }
             Asked::Silent(limit) => {
                 let due = clock.now().saturating_sub(MARGIN);
-                watch.fail(due);
+                watch.record_failure(due);
                 source.answered(false);
                 state.platform_failed(due);
                 let error = Error::Unavailable(format!("no answer within {limit:?}"));
@@ -168,7 +168,7 @@
             }
             Asked::Overtaken => {
                 draw::given_up(source.name(), &progress);
-                watch.give_up();
+                watch.abandon();
             }
             Asked::Needless => draw::given_up(source.name(), &progress),
         }
@@ -249,7 +249,7 @@
             return pending().await;
         }
         doubts.changed().await;
-        sleep(DOUBT).await;
+        sleep(RESYNC_GRACE).await;
         silence.stalled().await;
     };
     tokio::select! {
@@ -284,19 +284,19 @@
     watch: &mut Watch,
 ) -> Option<Revision> {
     let now = state.clock().now();
-    let (failures, unheard) = (watch.failures(), watch.unheard(now));
+    let (failures, unheard) = (watch.failures(), watch.since_last_answer(now));
     if failures > 0 {
         let (kind, unheard_ms) = (source.name(), unheard.as_millis() as u64);
         tracing::info!(kind, failures, unheard_ms, "store answers again");
     }
-    if failures >= AWAY {
+    if failures >= OUTAGE_FAILURES {
         state.platform_returned();
     }
     state.platform_answered();
     let revision = answer(watch.freshness(now));
     match revision {
-        Some(_) => watch.hear(now),
-        None => watch.miss(now),
+        Some(_) => watch.record_complete(now),
+        None => watch.record_gap(now),
     }
     revision
 }
@@ -305,11 +305,11 @@
 fn tell_failure(source: &dyn Source, state: &State, watch: &Watch, error: &Error) {
     let kind = source.name();
     if watch.failures() == 1 {
-        let unheard_ms = watch.unheard(state.clock().now()).as_millis() as u64;
+        let unheard_ms = watch.since_last_answer(state.clock().now()).as_millis() as u64;
         tracing::info!(kind, unheard_ms, %error, "store did not answer");
     }
-    if watch.failures() == AWAY {
-        state.platform_lost(watch.away_since());
+    if watch.failures() == OUTAGE_FAILURES {
+        state.platform_lost(watch.unanswered_since());
         tracing::warn!(kind, %error, "store lost");
     }
 }
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -26,7 +26,7 @@
             let revision = inner.configuration.revision.max(known.configuration_revision);
             inner.configuration.revision = revision;
         }
-        let is_news = inner.lag.hear(version, now) && version > in_force;
+        let is_news = inner.lag.record(version, now) && version > in_force;
         drop(inner);
         if is_news {
             tracing::info!(version, in_force, %from, "a newer configuration is known");
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -10,7 +10,7 @@
 use cinderspoke_core::gateway::catalog::{Catalog, Declared};
 use cinderspoke_core::gateway::directory::{Change, Directory, Tracker};
 use cinderspoke_core::gateway::fact::{Fact, Revision};
-use cinderspoke_core::gateway::gossip::patience;
+use cinderspoke_core::gateway::gossip::liveness_timeout;
 use cinderspoke_core::gateway::load::Report;
 use cinderspoke_core::gateway::name::{Region, Service, Zone};
 use cinderspoke_core::gateway::notice::Run;
@@ -105,7 +105,7 @@
 
     /// How many gateways there are now, this one among them.
     fn count(&self, inner: &Inner) -> usize {
-        let (now, patience) = (self.clock.now(), patience(inner.gateways.len()));
+        let (now, patience) = (self.clock.now(), liveness_timeout(inner.gateways.len()));
         let silent_at = inner.gateways.values().map(|heard| *heard + patience);
         let alive = silent_at.filter(|silent_at| *silent_at >= now);
         let (others, first) = alive.fold((0, Duration::MAX), |(others, first), silent_at| {
@@ -210,7 +210,7 @@
         let services = catalog.declared().backends.iter().map(|backend| backend.service.clone());
         inner.tracker.set_services(services.collect());
         let now = self.clock.now();
-        inner.lag.hear(version, now);
+        inner.lag.record(version, now);
         let behind_ms = inner.lag.behind(before, now).as_millis() as u64;
         let unknown = catalog.unknown_regions(|region| self.is_region(region));
         if !unknown.is_empty() {
@@ -354,7 +354,7 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         let known = inner.gateways.contains_key(&gateway);
-        let patience = patience(inner.gateways.len());
+        let patience = liveness_timeout(inner.gateways.len());
         let heard = inner.gateways.entry(gateway).or_insert(now);
         let alive = *heard + patience >= now;
         if itself {
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -29,11 +29,11 @@
                 Some(stored) => {
                     let news = rollout.newer_than(stored);
                     stored.merge(rollout);
-                    inner.timeline.learn(&news, age, now)
+                    inner.timeline.record(&news, age, now)
                 }
                 none => {
                     *none = Some(rollout.clone());
-                    inner.timeline.learn(rollout, Age::Found, now)
+                    inner.timeline.record(rollout, Age::Found, now)
                 }
             }
         });
@@ -99,6 +99,6 @@
     pub fn version_left(&self, model: &Model, version: Version, narrow: bool) -> Option<Duration> {
         let overlap = self.terms().overlap;
         let overlap = if narrow { overlap.narrow } else { overlap.clear };
-        self.lock().timeline.left(model, version, overlap, self.clock().now())
+        self.lock().timeline.remaining(model, version, overlap, self.clock().now())
     }
 }
--- a/tests/testsuite/gateway/gossip.rs
+++ b/tests/testsuite/gateway/gossip.rs
@@ -1,6 +1,6 @@
 //! For how long a gateway counts that is silent.
 
-use cinderspoke_core::gateway::gossip::{PERIOD, fanout, patience};
+use cinderspoke_core::gateway::gossip::{PERIOD, fanout, liveness_timeout};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use yare::parameterized;
@@ -15,19 +15,19 @@
     many = { 29, 58_000 },
 )]
 fn the_more_gateways_the_longer_a_silent_one_counts(others: usize, for_ms: u64) {
-    assert_eq!(patience(others), ms(for_ms));
+    assert_eq!(liveness_timeout(others), ms(for_ms));
 }
 
 #[test]
 fn no_number_of_gateways_is_too_large() {
-    assert!(patience(usize::MAX) >= patience(1_000_000));
+    assert!(liveness_timeout(usize::MAX) >= liveness_timeout(1_000_000));
 }
 
 #[parameterized(few = { 6 }, many = { 29 }, hundreds = { 400 })]
 fn hardly_any_gateway_that_lives_is_left_out(others: usize) {
     // One gateway; each of the others tells it in one of so many of its rounds.
     let mut random = ChaCha8Rng::seed_from_u64(2);
-    let rounds = (patience(others).as_millis() / PERIOD.as_millis()) as usize;
+    let rounds = (liveness_timeout(others).as_millis() / PERIOD.as_millis()) as usize;
     let silent =
         |random: &mut ChaCha8Rng| !(0..rounds).any(|_| random.random_range(0..others) == 0);
     let (asked, mut left_out) = (2_000, 0);
--- a/tests/testsuite/gateway/late_updates.rs
+++ b/tests/testsuite/gateway/late_updates.rs
@@ -12,25 +12,25 @@
 
 fn named(version: u64) -> Rollout {
     let mut rollout = Rollout::default();
-    rollout.name("m".into(), Version(version));
+    rollout.advance("m".into(), Version(version));
     rollout
 }
 
 fn left(timeline: &Timeline, version: u64, now: u64) -> Option<Duration> {
-    timeline.left(&"m".into(), Version(version), OVERLAP, ms(now))
+    timeline.remaining(&"m".into(), Version(version), OVERLAP, ms(now))
 }
 
 /// A process on which three versions follow one another at 10 s.
 fn follow(timeline: &mut Timeline) {
     for version in 3..=5 {
-        timeline.learn(&named(version), Age::Seen(Duration::ZERO), ms(10_000));
+        timeline.record(&named(version), Age::Seen(Duration::ZERO), ms(10_000));
     }
 }
 
 #[test]
 fn what_a_forgotten_version_ended_stays_ended_when_another_process_saw_the_newer_ones() {
     let (mut timeline, mut other) = (Timeline::default(), Timeline::default());
-    timeline.learn(&named(2), Age::Within(ms(6000)), ms(10_000));
+    timeline.record(&named(2), Age::Within(ms(6000)), ms(10_000));
     follow(&mut timeline);
     follow(&mut other);
     assert_eq!(left(&timeline, 1, 10_000), Some(Duration::ZERO));
@@ -41,7 +41,7 @@
 #[test]
 fn what_a_version_found_at_the_start_ended_stays_ended_when_it_is_forgotten() {
     let mut timeline = Timeline::default();
-    timeline.learn(&named(2), Age::Found, ms(10_000));
+    timeline.record(&named(2), Age::Found, ms(10_000));
     assert_eq!(left(&timeline, 1, 10_000), Some(Duration::ZERO));
     follow(&mut timeline);
     assert_eq!(left(&timeline, 1, 10_000), Some(Duration::ZERO));
@@ -52,10 +52,10 @@
 #[test]
 fn what_comes_long_after_a_watch_was_made_anew_is_new() {
     let mut watch = Watch::new(ms(0));
-    watch.hear(ms(10_000));
-    watch.fail(ms(1000));
+    watch.record_complete(ms(10_000));
+    watch.record_failure(ms(1000));
     let answered = ms(15_000) + watch.wait(150, 1.0);
     assert!(answered < ms(16_000));
-    watch.hear(answered);
+    watch.record_complete(answered);
     assert_eq!(watch.freshness(ms(25_000)), Freshness::New);
 }
--- a/tests/testsuite/gateway/rollout.rs
+++ b/tests/testsuite/gateway/rollout.rs
@@ -4,7 +4,7 @@
 
 fn named(version: u64) -> Rollout {
     let mut rollout = Rollout::default();
-    rollout.name("m".into(), Version(version));
+    rollout.advance("m".into(), Version(version));
     rollout
 }
 
--- a/tests/testsuite/gateway/timeline.rs
+++ b/tests/testsuite/gateway/timeline.rs
@@ -13,24 +13,24 @@
 
 fn named(version: u64) -> Rollout {
     let mut rollout = Rollout::default();
-    rollout.name("m".into(), Version(version));
+    rollout.advance("m".into(), Version(version));
     rollout
 }
 
 /// How much longer a version may begin requests, in milliseconds.
 fn left(timeline: &Timeline, version: u64, now: u64) -> Option<u64> {
-    let left = timeline.left(&"m".into(), Version(version), OVERLAP, ms(now));
+    let left = timeline.remaining(&"m".into(), Version(version), OVERLAP, ms(now));
     left.map(|left| left.as_millis() as u64)
 }
 
 #[test]
 fn a_version_named_while_the_process_runs_leaves_the_old_one_its_time() {
     let mut timeline = Timeline::default();
-    timeline.learn(&Rollout::default(), Age::Found, ms(100));
-    timeline.learn(&named(2), NEW, ms(20_000));
+    timeline.record(&Rollout::default(), Age::Found, ms(100));
+    timeline.record(&named(2), NEW, ms(20_000));
     assert_eq!(left(&timeline, 1, 21_000), Some(4000));
     assert_eq!(left(&timeline, 2, 21_000), None);
-    timeline.learn(&named(3), NEW, ms(22_000));
+    timeline.record(&named(3), NEW, ms(22_000));
     assert_eq!(left(&timeline, 1, 24_000), Some(1000));
     assert_eq!(left(&timeline, 2, 24_000), Some(3000));
     assert_eq!(left(&timeline, 2, 40_000), Some(0));
@@ -39,7 +39,7 @@
 #[test]
 fn a_version_found_at_the_start_leaves_an_older_one_nothing() {
     let mut timeline = Timeline::default();
-    timeline.learn(&named(2), Age::Found, ms(3));
+    timeline.record(&named(2), Age::Found, ms(3));
     assert_eq!(left(&timeline, 1, 3), Some(0));
     assert_eq!(left(&timeline, 1, 1000), Some(0));
     assert_eq!(left(&timeline, 2, 1000), None, "the newest serves on");
@@ -48,8 +48,8 @@
 #[test]
 fn whoever_saw_a_version_named_tells_those_who_found_it() {
     let (mut old, mut young) = (Timeline::default(), Timeline::default());
-    old.learn(&named(2), NEW, ms(60_000));
-    young.learn(&named(2), Age::Found, ms(3));
+    old.record(&named(2), NEW, ms(60_000));
+    young.record(&named(2), Age::Found, ms(3));
     // Another one that only found it tells nothing.
     young.merge(&young.ages(ms(4)), ms(4));
     assert_eq!(left(&young, 1, 4), Some(0));
@@ -63,7 +63,7 @@
 #[test]
 fn an_age_that_began_before_the_process_is_kept_whole() {
     let (mut old, mut young) = (Timeline::default(), Timeline::default());
-    old.learn(&named(2), NEW, ms(0));
+    old.record(&named(2), NEW, ms(0));
     young.merge(&old.ages(ms(100_000)), ms(1));
     assert_eq!(left(&young, 1, 1), Some(0));
 }
@@ -71,8 +71,8 @@
 #[test]
 fn the_greatest_age_counts_since_news_may_have_come_late() {
     let (mut prompt, mut late) = (Timeline::default(), Timeline::default());
-    prompt.learn(&named(2), NEW, ms(1000));
-    late.learn(&named(2), NEW, ms(4000));
+    prompt.record(&named(2), NEW, ms(1000));
+    late.record(&named(2), NEW, ms(4000));
     prompt.merge(&late.ages(ms(4500)), ms(4500));
     late.merge(&prompt.ages(ms(4500)), ms(4500));
     assert_eq!(left(&prompt, 1, 4500), Some(1500));
@@ -82,8 +82,8 @@
 #[test]
 fn an_older_version_ends_with_the_first_that_followed_it() {
     let (mut one, mut other) = (Timeline::default(), Timeline::default());
-    one.learn(&named(3), NEW, ms(10_000));
-    other.learn(&named(2), NEW, ms(7000));
+    one.record(&named(3), NEW, ms(10_000));
+    other.record(&named(2), NEW, ms(7000));
     one.merge(&other.ages(ms(10_000)), ms(10_000));
     assert_eq!(left(&one, 1, 10_000), Some(2000));
     assert_eq!(left(&one, 2, 10_000), Some(5000));
@@ -94,7 +94,7 @@
 fn a_version_that_has_ended_never_begins_again_however_many_follow() {
     let mut timeline = Timeline::default();
     for (version, at) in [(2, 0), (3, 3500), (4, 4000), (5, 4500), (6, 4900), (7, 5100)] {
-        timeline.learn(&named(version), NEW, ms(at));
+        timeline.record(&named(version), NEW, ms(at));
         let first = left(&timeline, 1, at);
         assert_eq!(first, Some(5000_u64.saturating_sub(at)), "once {version} is named");
     }
@@ -104,9 +104,9 @@
 #[test]
 fn an_older_version_that_another_process_still_keeps_ends_with_its_own_time() {
     let (mut one, mut other) = (Timeline::default(), Timeline::default());
-    other.learn(&named(2), NEW, ms(0));
+    other.record(&named(2), NEW, ms(0));
     for (version, at) in [(3, 3500), (4, 4000), (5, 4500)] {
-        one.learn(&named(version), NEW, ms(at));
+        one.record(&named(version), NEW, ms(at));
     }
     assert!(!one.merge(&other.ages(ms(4600)), ms(4600)), "it is no news");
     assert_eq!(left(&one, 1, 4600), Some(400));
@@ -117,7 +117,7 @@
 #[test]
 fn a_version_heard_of_late_counts_as_old_as_it_may_be() {
     let mut timeline = Timeline::default();
-    assert!(timeline.learn(&named(2), LATE, ms(10_000)));
+    assert!(timeline.record(&named(2), LATE, ms(10_000)));
     assert_eq!(left(&timeline, 1, 10_000), Some(2000));
     assert_eq!(left(&timeline, 1, 11_000), Some(1000));
 }
@@ -125,8 +125,8 @@
 #[test]
 fn of_all_that_heard_of_a_version_late_who_heard_least_late_counts() {
     let (mut timeline, mut other) = (Timeline::default(), Timeline::default());
-    timeline.learn(&named(2), LATE, ms(10_000));
-    other.learn(&named(2), Age::Within(ms(1000)), ms(500));
+    timeline.record(&named(2), LATE, ms(10_000));
+    other.record(&named(2), Age::Within(ms(1000)), ms(500));
     assert!(!timeline.merge(&other.ages(ms(500)), ms(10_000)), "it was known before");
     assert_eq!(left(&timeline, 1, 10_000), Some(4000));
     other.merge(&timeline.ages(ms(10_000)), ms(500));
@@ -136,20 +136,20 @@
 #[test]
 fn whoever_saw_a_version_named_goes_before_who_heard_of_it_late() {
     let (mut timeline, mut other) = (Timeline::default(), Timeline::default());
-    timeline.learn(&named(2), LATE, ms(10_000));
-    other.learn(&named(2), NEW, ms(500));
+    timeline.record(&named(2), LATE, ms(10_000));
+    other.record(&named(2), NEW, ms(500));
     assert!(timeline.merge(&other.ages(ms(700)), ms(10_000)), "it is better known");
     assert_eq!(left(&timeline, 1, 10_000), Some(4800));
-    timeline.learn(&named(2), LATE, ms(10_000));
+    timeline.record(&named(2), LATE, ms(10_000));
     assert_eq!(left(&timeline, 1, 10_000), Some(4800), "late news take nothing back");
 }
 
 #[test]
 fn what_a_forgotten_version_ended_stays_ended_by_one_that_was_heard_of_late() {
     let mut timeline = Timeline::default();
-    timeline.learn(&named(2), Age::Within(ms(6000)), ms(10_000));
+    timeline.record(&named(2), Age::Within(ms(6000)), ms(10_000));
     for version in 3..=5 {
-        timeline.learn(&named(version), NEW, ms(10_000));
+        timeline.record(&named(version), NEW, ms(10_000));
     }
     assert_eq!(left(&timeline, 1, 10_000), Some(0));
     assert_eq!(left(&timeline, 4, 10_000), Some(5000));
--- a/tests/testsuite/gateway/watch.rs
+++ b/tests/testsuite/gateway/watch.rs
@@ -7,7 +7,7 @@
 /// A watch that heard something at 10 s.
 fn watching() -> Watch {
     let mut watch = Watch::new(ms(0));
-    watch.hear(ms(10_000));
+    watch.record_complete(ms(10_000));
     watch
 }
 
@@ -22,28 +22,28 @@
 fn what_comes_after_calls_that_failed_may_be_as_old_as_the_last_answer() {
     let mut watch = watching();
     for failures in 1..5 {
-        watch.fail(ms(11_000 + u64::from(failures)));
+        watch.record_failure(ms(11_000 + u64::from(failures)));
         assert_eq!(watch.failures(), failures);
-        assert_eq!(watch.away_since(), ms(11_001), "the first one tells");
+        assert_eq!(watch.unanswered_since(), ms(11_001), "the first one tells");
         assert_eq!(watch.freshness(ms(16_004)), Freshness::Within(ms(6004)));
     }
-    watch.hear(ms(16_004));
+    watch.record_complete(ms(16_004));
     assert_eq!(watch.freshness(ms(17_000)), Freshness::New);
 }
 
 #[test]
 fn what_comes_after_a_watch_was_given_up_may_be_as_old_as_the_last_answer() {
     let mut watch = watching();
-    watch.give_up();
+    watch.abandon();
     assert_eq!(watch.freshness(ms(12_000)), Freshness::Within(ms(2000)));
 }
 
 #[test]
 fn what_the_platform_forgot_may_be_as_old_as_the_last_whole_answer() {
     let mut watch = watching();
-    watch.fail(ms(11_000));
-    watch.miss(ms(12_000));
-    assert_eq!((watch.failures(), watch.unheard(ms(12_010))), (0, ms(10)));
+    watch.record_failure(ms(11_000));
+    watch.record_gap(ms(12_000));
+    assert_eq!((watch.failures(), watch.since_last_answer(ms(12_010))), (0, ms(10)));
     assert_eq!(watch.freshness(ms(12_010)), Freshness::Within(ms(2010)));
 }
 
@@ -52,14 +52,17 @@
 #[test]
 fn a_watch_that_went_amiss_waits_as_shortly_as_it_may() {
     let calm = |watch: &Watch| watch.wait(40, 0.9) > ms(20_000);
-    let amiss: [fn(&mut Watch); 3] =
-        [|watch| watch.fail(ms(11_000)), Watch::give_up, |watch| watch.miss(ms(11_000))];
+    let amiss: [fn(&mut Watch); 3] = [
+        |watch| watch.record_failure(ms(11_000)),
+        Watch::abandon,
+        |watch| watch.record_gap(ms(11_000)),
+    ];
     for amiss in amiss {
         let mut watch = watching();
         assert!(calm(&watch));
         amiss(&mut watch);
         assert_eq!(watch.wait(40, 0.9), ms(500));
-        watch.hear(ms(12_000));
+        watch.record_complete(ms(12_000));
         assert!(calm(&watch));
     }
 }
@@ -91,9 +94,9 @@
 #[test]
 fn a_pause_makes_news_old_and_the_next_pause_no_shorter() {
     let mut watch = Watch::new(ms(0));
-    watch.paused();
+    watch.record_pause();
     assert_eq!(watch.freshness(ms(9000)), Freshness::Within(ms(9000)));
-    assert_eq!(watch.pause(14, 1.0), Watch::new(ms(0)).pause(14, 1.0));
-    watch.hear(ms(9000));
+    assert_eq!(watch.poll_interval(14, 1.0), Watch::new(ms(0)).poll_interval(14, 1.0));
+    watch.record_complete(ms(9000));
     assert_eq!(watch.freshness(ms(9000)), Freshness::New);
 }
--- a/tests/testsuite/hints.rs
+++ b/tests/testsuite/hints.rs
@@ -45,7 +45,7 @@
 /// A plan that agents do not know.
 fn plan() -> Plan {
     let mut rollout = Rollout::default();
-    rollout.name(model(), Version(2));
+    rollout.advance(model(), Version(2));
     Plan { rollout, models: vec!["m".into()], ..Plan::default() }
 }
 
--- a/tests/testsuite/stagers.rs
+++ b/tests/testsuite/stagers.rs
@@ -177,7 +177,7 @@
         region: "r".into(),
     };
     let mut rollout = Rollout::default();
-    rollout.name(model(), Version(2));
+    rollout.advance(model(), Version(2));
     let seed = SocketAddr::new(address::free().unwrap().ip(), shared_port());
     let plan = Plan {
         rollout,
@@ -259,7 +259,7 @@
     let address = address::free().unwrap();
     let seed = SocketAddr::new(address::free().unwrap().ip(), shared_port());
     let mut rollout = Rollout::default();
-    rollout.name(model(), Version(2));
+    rollout.advance(model(), Version(2));
     let plan = Arc::new(Mutex::new(Plan {
         rollout,
         models: vec!["m".into()],
@@ -278,7 +278,7 @@
     };
     let _stager = Stager::bind(&settings(address, "a", seed), parts).await.unwrap();
     sleep(STEP_DELAY).await;
-    plan.lock().unwrap().rollout.name(model(), Version(3));
+    plan.lock().unwrap().rollout.advance(model(), Version(3));
     sleep(STEP_DELAY).await;
     origin.is_down.store(true, Ordering::Relaxed);
     let third_version_runs = async {
@@ -356,9 +356,9 @@
 async fn an_agent_tells_a_gateway_that_it_asks_for_how_long_versions_have_been_named() {
     let gateway = address::free().unwrap();
     let mut rollout = Rollout::default();
-    rollout.name(model(), Version(2));
+    rollout.advance(model(), Version(2));
     let mut timeline = Timeline::default();
-    timeline.learn(&rollout, Age::Seen(Duration::from_secs(60)), Duration::ZERO);
+    timeline.record(&rollout, Age::Seen(Duration::from_secs(60)), Duration::ZERO);
     let ages = timeline.ages(Duration::ZERO);
     let plan = Plan { rollout, ages, models: vec!["m".into()], ..Plan::default() };
     let app = Router::new().route("/v1/plan", get(async move || pack(&plan)));
@@ -378,8 +378,9 @@
     };
     let mut learned = Timeline::default();
     learned.merge(&ages, Duration::ZERO);
-    let left =
-        |overlap| learned.left(&model(), Version(1), Duration::from_secs(overlap), Duration::ZERO);
+    let left = |overlap| {
+        learned.remaining(&model(), Version(1), Duration::from_secs(overlap), Duration::ZERO)
+    };
     assert_eq!(left(60), Some(Duration::ZERO));
     assert!(left(120) > Some(Duration::ZERO), "it is known to have been seen");
 }
--- a/tests/testsuite/watches.rs
+++ b/tests/testsuite/watches.rs
@@ -52,7 +52,7 @@
 
 fn named(version: u64) -> Fact<Rollout> {
     let mut rollout = Rollout::default();
-    rollout.name("m".into(), Version(version));
+    rollout.advance("m".into(), Version(version));
     Fact::new(Revision(version), rollout)
 }
 
