--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -11,7 +11,7 @@
 
 use super::call::Size;
 use super::catalog::Engine;
-use super::notice::Departure;
+use super::notice::Drain;
 use super::reservation;
 use super::rollout::Version;
 use super::tally::Outstanding;
@@ -60,7 +60,7 @@
     /// Whether what goes over its instance's link may be held up for seconds.
     pub is_congested: bool,
     /// Whether the engine says that it leaves.
-    pub drain: Option<Departure>,
+    pub drain: Option<Drain>,
     /// Tells the processes of an agent apart: each has a clock of its own.
     pub process: u64,
     /// What other gateways than the one that is told have outstanding there.
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cinderspoke_core::gateway::notice::{Departure, Run, Update};
+use cinderspoke_core::gateway::notice::{Drain, Run, Update};
 use cinderspoke_ports::gateway::AnswerHead;
 
 use super::context::Context;
@@ -46,7 +46,7 @@
 
     /// Takes in what an agent heard of its engine's leaving. The word may be of another run
     /// than the one that is listed.
-    pub(super) fn told_departure(&self, target: &Target, departure: Departure) {
+    pub(super) fn told_departure(&self, target: &Target, departure: Drain) {
         if target.matches_start(departure.start) && !target.is_draining() {
             self.leaves(target.run, "agent");
         }
