--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -153,7 +153,7 @@
 
     /// Takes in that a request for a service came, which earns sends beyond the first.
     pub fn deposit_retry(&self, service: &Service) {
-        let (now, terms) = (self.clock.now(), self.state.terms().budget);
+        let (now, terms) = (self.clock.now(), self.state.options().budget);
         self.budget(service, |budget| budget.record_request(now, &terms));
     }
 
@@ -175,7 +175,7 @@
 
     /// Whether another send of a request is within the budget; counts it if it is.
     pub fn withdraw_retry(&self, service: &Service) -> bool {
-        let (now, terms) = (self.clock.now(), self.state.terms().budget);
+        let (now, terms) = (self.clock.now(), self.state.options().budget);
         let gateways = self.state.view().gateways;
         self.budget(service, |budget| {
             let affords = budget.allows_retry(now, &terms, gateways);
--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -66,7 +66,7 @@
         Box::new(Versions(shared())),
         Box::new(Endpoints(shared())),
     ];
-    if state.terms().evacuates {
+    if state.options().evacuates {
         sources.push(Box::new(Evacuations(shared())));
     }
     for source in sources {
--- a/src/cinderspoke/gateway/mod.rs
+++ b/src/cinderspoke/gateway/mod.rs
@@ -2,7 +2,7 @@
 //! versions and the list of endpoints.
 //!
 //! - [`state`] keeps the facts of its [`inner`] and shows them to requests
-//!   in a [`view`]; what it asks of decisions is in [`terms`].
+//!   in a [`view`]; what it asks of decisions is in [`options`].
 //! - [`follow`] learns facts from the platform, each kind from a [`source`]; [`relay`] tells
 //!   other gateways and [`agents`] of them in a [`message`], and asks a gateway for [`facts`]
 //!   that this one lacks: of configurations, [`region`] says whom, and [`draw`] counts what
@@ -34,6 +34,7 @@
 pub mod inner;
 pub mod message;
 pub mod notices;
+pub mod options;
 pub mod outstanding;
 pub mod parse;
 pub mod passthrough;
@@ -54,7 +55,6 @@
 pub mod subset;
 pub mod suspects;
 pub mod target;
-pub mod terms;
 pub mod versions;
 pub mod view;
 pub mod zones;
@@ -70,9 +70,9 @@
 use tokio_util::sync::CancellationToken;
 
 use self::context::Context;
+use self::options::Options;
 use self::relay::Relay;
 use self::state::State;
-use self::terms::Terms;
 use crate::util::clock::Clock;
 use crate::util::http::Client;
 use crate::util::listen;
@@ -121,8 +121,8 @@
     pub async fn bind(settings: &settings::Node, parts: Parts) -> Result<Self> {
         let listen = settings.listen.as_ref().context("the settings name no place to listen")?;
         let clock = Clock::start();
-        let terms = Terms::new(settings);
-        let state = Arc::new(State::new(settings, terms, clock));
+        let options = Options::new(settings);
+        let state = Arc::new(State::new(settings, options, clock));
         let stop = CancellationToken::new();
         let context = Arc::new(Context::new(Arc::clone(&state), parts.dialect, clock));
         let callers = listen::tcp(listen.callers).await?;
@@ -149,12 +149,12 @@
 
     /// Goes by other settings, in what may change while it runs.
     pub fn reload(&self, settings: &settings::Node) {
-        self.context.state.asked(Terms::new(settings));
+        self.context.state.set_options(Options::new(settings));
     }
 
     /// Stops in order: no request in progress is cut off, and no answer on its way.
     pub async fn stop(self) {
-        let (began, grace) = (Instant::now(), self.context.state.terms().grace);
+        let (began, grace) = (Instant::now(), self.context.state.options().grace);
         let end = began + grace.saturating_sub(MARGIN);
         tracing::info!(in_progress = self.context.in_progress(), "stopping");
         self.context.start_draining();
--- a/src/cinderspoke/gateway/terms.rs
+++ b/src/cinderspoke/gateway/options.rs
@@ -18,7 +18,7 @@
 
 /// What the settings ask of a gateway, as far as it may change while it runs.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct Options {
     /// The budget of sends beyond the first.
     pub budget: budget::Options,
     /// How long after a version was named an older one may begin requests.
@@ -38,7 +38,7 @@
     pub seeds: Vec<SocketAddr>,
 }
 
-impl Terms {
+impl Options {
     /// How many regions there are.
     #[must_use]
     pub fn region_count(&self) -> usize {
--- a/src/cinderspoke/gateway/plan.rs
+++ b/src/cinderspoke/gateway/plan.rs
@@ -65,12 +65,12 @@
 
     /// The engines of a service, in the order of their addresses.
     fn peers(&self, directory: &Directory, service: &Service) -> Vec<Peer> {
-        let terms = self.state.terms();
+        let options = self.state.options();
         let entries = directory.entries.values().filter(|entry| entry.service == *service);
         let peer = |entry: &Entry| Peer {
             engine: entry.address,
             zone: entry.zone.to_string(),
-            region: terms.regions.get(entry.zone.as_str()).cloned().unwrap_or_default(),
+            region: options.regions.get(entry.zone.as_str()).cloned().unwrap_or_default(),
         };
         let mut peers: Vec<_> = entries.map(peer).collect();
         peers.sort_by_key(|peer| peer.engine);
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -70,7 +70,7 @@
     /// Whether this gateway reads the configuration from the store as it changes.
     #[must_use]
     pub fn role(&self) -> Role {
-        self.lock().region.role(self.terms().region_count(), self.clock().now())
+        self.lock().region.role(self.options().region_count(), self.clock().now())
     }
 
     /// Has another gateway read the configuration, as this one is about to stop.
@@ -81,21 +81,21 @@
     /// How many gateways read it.
     #[must_use]
     pub fn readers(&self) -> usize {
-        Table::readers(self.terms().region_count()).min(self.view().gateways)
+        Table::readers(self.options().region_count()).min(self.view().gateways)
     }
 
     /// What this gateway says of itself.
     #[must_use]
     pub fn announcement(&self) -> Announcement {
-        self.lock().region.announcement(self.terms().region_count(), self.clock().now())
+        self.lock().region.announcement(self.options().region_count(), self.clock().now())
     }
 
     /// Adds a gateway that others name; true when it was not known and is to be greeted: it
     /// may be of this region, where those who read have to know of it.
     pub fn introduced(&self, gateway: Named) -> bool {
         let is_new = self.met(gateway.address, false);
-        let terms = self.terms();
-        let regions = terms.regions.values().map(|region| Region::from(region.as_str()));
+        let options = self.options();
+        let regions = options.regions.values().map(|region| Region::from(region.as_str()));
         let region = regions.into_iter().find(|region| gateway.region == Some(Tag::of(region)));
         let Some(region) = region else { return is_new };
         let now = self.clock().now();
@@ -128,7 +128,7 @@
     /// Whether this gateway tells other regions of news.
     #[must_use]
     pub fn tells_far(&self) -> bool {
-        self.lock().region.sends_to_other_regions(self.terms().region_count(), self.clock().now())
+        self.lock().region.sends_to_other_regions(self.options().region_count(), self.clock().now())
     }
 
     /// The other gateways of the region.
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -276,7 +276,7 @@
         loop {
             let others = self.others();
             let targets = match others.len() {
-                0 => self.state.terms().seeds.clone(),
+                0 => self.state.options().seeds.clone(),
                 count => vec![others[rand::random_range(0..count)]],
             };
             let behind = self.state.configuration_behind();
--- a/src/cinderspoke/gateway/source.rs
+++ b/src/cinderspoke/gateway/source.rs
@@ -123,7 +123,7 @@
     /// read it whole, they would fill the link to the store.
     async fn wait_for<T>(&self, known: impl Fn(&State) -> Option<T>) {
         let state = &self.state;
-        if state.terms().seeds.is_empty() {
+        if state.options().seeds.is_empty() {
             return;
         }
         let began = state.clock().now();
@@ -329,7 +329,7 @@
     }
 
     fn gather(&self) -> Duration {
-        let gather = self.0.state.terms().gather;
+        let gather = self.0.state.options().gather;
         // Entries that come back late after an outage are given up for a while.
         let awaits_entries = self.0.state.next_settled().is_some();
         if awaits_entries { gather.min(GATHER_AFTER_OUTAGE) } else { gather }
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -22,11 +22,11 @@
 
 use super::inner::Inner;
 use super::message::Known;
+use super::options::Options;
 use super::outstanding;
 use super::query::Queries;
 use super::suspects::Suspects;
 use super::target::Target;
-use super::terms::Terms;
 use super::view::{Member, View};
 use crate::util::clock::Clock;
 use crate::util::settings::inner_address;
@@ -49,7 +49,7 @@
     outstanding_changes: Arc<outstanding::Changes>,
     queries: Queries,
     suspects: Suspects,
-    terms: ArcSwap<Terms>,
+    options: ArcSwap<Options>,
     zone: Zone,
     // By which this gateway is ranked among all.
     key: Key,
@@ -59,7 +59,7 @@
 impl State {
     /// Nothing is known yet.
     #[must_use]
-    pub fn new(settings: &settings::Node, terms: Terms, clock: Clock) -> Self {
+    pub fn new(settings: &settings::Node, options: Options, clock: Clock) -> Self {
         let own = inner_address(settings);
         let region = region::Table::new(own, settings.region.as_str().into());
         Self {
@@ -72,7 +72,7 @@
             outstanding_changes: Arc::default(),
             queries: Queries::default(),
             suspects: Suspects::new(&settings.instance),
-            terms: ArcSwap::from_pointee(terms),
+            options: ArcSwap::from_pointee(options),
             zone: settings.zone.as_str().into(),
             key: Key::of_address(own),
             clock,
@@ -116,16 +116,16 @@
         1 + others
     }
 
-    /// What the settings ask.
+    /// The options currently in use.
     #[must_use]
-    pub fn terms(&self) -> Arc<Terms> {
-        self.terms.load_full()
+    pub fn options(&self) -> Arc<Options> {
+        self.options.load_full()
     }
 
-    /// Takes in that the settings ask something else.
-    pub fn asked(&self, terms: Terms) {
+    /// Replaces the options, after the settings were reloaded.
+    pub fn set_options(&self, options: Options) {
         let mut inner = self.lock();
-        self.terms.store(Arc::new(terms));
+        self.options.store(Arc::new(options));
         self.show(&mut inner);
         drop(inner);
         self.changes.raise();
@@ -440,26 +440,26 @@
             members: Arc::new(members),
             rollout: inner.rollout.clone(),
             gateways,
-            knows_emptied: !self.terms().evacuates || inner.evacuation.known().is_some(),
+            knows_emptied: !self.options().evacuates || inner.evacuation.known().is_some(),
             others: inner.gateways.keys().map(|gateway| Key::of_address(*gateway)).collect(),
         }));
     }
 
     /// Whether the settings name a region.
     fn is_region(&self, region: &Region) -> bool {
-        self.terms().regions.values().any(|known| known == region.as_str())
+        self.options().regions.values().any(|known| known == region.as_str())
     }
 
     /// The region of an availability zone; the empty name where the settings name none.
     fn region_of(&self, zone: &Zone) -> Region {
-        let terms = self.terms();
-        terms.regions.get(zone.as_str()).map(|region| region.as_str().into()).unwrap_or_default()
+        let options = self.options();
+        options.regions.get(zone.as_str()).map(|region| region.as_str().into()).unwrap_or_default()
     }
 
     /// How near an availability zone is to this gateway.
     fn distance(&self, zone: &Zone) -> Distance {
-        let terms = self.terms();
-        let region = |zone: &Zone| terms.regions.get(zone.as_str());
+        let options = self.options();
+        let region = |zone: &Zone| options.regions.get(zone.as_str());
         if *zone == self.zone {
             Distance::Zone
         } else if region(zone).is_some() && region(zone) == region(&self.zone) {
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -97,7 +97,7 @@
     /// is narrow, or is not; none for no end.
     #[must_use]
     pub fn version_left(&self, model: &Model, version: Version, narrow: bool) -> Option<Duration> {
-        let overlap = self.terms().overlap;
+        let overlap = self.options().overlap;
         let overlap = if narrow { overlap.narrow } else { overlap.clear };
         self.lock().timeline.remaining(model, version, overlap, self.clock().now())
     }
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -45,7 +45,7 @@
 
     /// Whether the settings name an availability zone.
     fn is_zone(&self, zone: &Zone) -> bool {
-        self.terms().regions.contains_key(zone.as_str())
+        self.options().regions.contains_key(zone.as_str())
     }
 
     /// The revision of the emptied zones; none before they are known.
@@ -58,9 +58,9 @@
     /// within a second; none without a bound.
     #[must_use]
     pub fn cold_bound(&self, view: &View, service: &Service) -> Option<Bound> {
-        let terms = self.terms().cold?;
+        let cold_options = self.options().cold?;
         let cold = view.catalog.as_ref()?.backend(service)?.cold?;
-        Some(terms.bound(cold.requests_per_s))
+        Some(cold_options.bound(cold.requests_per_s))
     }
 }
 
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -8,8 +8,8 @@
 
 use async_trait::async_trait;
 use cinderspoke::gateway::follow;
+use cinderspoke::gateway::options::Options;
 use cinderspoke::gateway::state;
-use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::catalog::Declared;
 use cinderspoke_core::gateway::directory::{Change, Directory, Entry, RETENTION, State};
@@ -132,7 +132,7 @@
 /// A gateway's knowledge, which follows a store that answers so.
 fn following(steps: impl IntoIterator<Item = Step>) -> Arc<state::State> {
     let settings = settings();
-    let state = state::State::new(&settings, Terms::new(&settings), Clock::start());
+    let state = state::State::new(&settings, Options::new(&settings), Clock::start());
     let state = Arc::new(state);
     let registry: Arc<dyn Registry> =
         Arc::new(Script { steps: Mutex::new(steps.into_iter().collect()) });
--- a/tests/testsuite/late.rs
+++ b/tests/testsuite/late.rs
@@ -8,8 +8,8 @@
 
 use async_trait::async_trait;
 use cinderspoke::gateway::follow;
+use cinderspoke::gateway::options::Options;
 use cinderspoke::gateway::state::State;
-use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::catalog::Declared;
 use cinderspoke_core::gateway::directory::{Change, Directory};
@@ -135,7 +135,7 @@
 /// A gateway's knowledge, which follows a store and knows of so many other gateways.
 fn following(store: &Arc<Late>, others: u16) -> (Arc<State>, CancellationToken) {
     let (settings, token) = (settings(), CancellationToken::new());
-    let state = State::new(&settings, Terms::new(&settings), Clock::start());
+    let state = State::new(&settings, Options::new(&settings), Clock::start());
     let state = Arc::new(state);
     for other in 1..=others {
         state.met(SocketAddr::from(([10, 9, 0, 1], other)), true);
--- a/tests/testsuite/reload.rs
+++ b/tests/testsuite/reload.rs
@@ -16,7 +16,7 @@
 
 use axum::Router;
 use axum::routing::get;
-use cinderspoke::gateway::terms::Terms;
+use cinderspoke::gateway::options;
 use cinderspoke::util::log;
 use cinderspoke::util::reload::File;
 use cinderspoke::util::unix::Signals;
@@ -358,8 +358,8 @@
 fn only_after_the_first_start_is_the_slack_there_at_once(first_start: bool, from_s: u64) {
     let mut settings = node("info");
     settings["first_start"] = first_start.into();
-    let terms = Terms::new(&serde_json::from_value(settings).unwrap());
-    assert_eq!(terms.budget.slack_from, Duration::from_secs(from_s));
+    let options = options::Options::new(&serde_json::from_value(settings).unwrap());
+    assert_eq!(options.budget.slack_from, Duration::from_secs(from_s));
 }
 
 // Symptom: by reading. Settings that nobody wrote are in force for up to two seconds.
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
+use cinderspoke::gateway::options::Options;
 use cinderspoke::gateway::state::State;
-use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::budget::Budget;
 use cinderspoke_core::gateway::gossip::PERIOD;
@@ -22,7 +22,7 @@
 /// each spent its whole share.
 fn spent(gateways: &[State]) -> usize {
     let spent = gateways.iter().map(|state| {
-        let (now, terms) = (state.clock().now(), state.terms().budget);
+        let (now, terms) = (state.clock().now(), state.options().budget);
         let known = state.view().gateways;
         let mut budget = Budget::default();
         let repeats = std::iter::from_fn(|| {
@@ -36,14 +36,14 @@
 async fn quiet_gateways_share(count: usize) {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let (settings, clock) = (settings(), Clock::start());
-    let new = || State::new(&settings, Terms::new(&settings), clock);
+    let new = || State::new(&settings, Options::new(&settings), clock);
     let gateways: Vec<_> = (0..count).map(|_| new()).collect();
     for (own, state) in gateways.iter().enumerate() {
         // What the store names at the start.
         let others = (0..count).filter(|other| *other != own);
         others.for_each(|other| _ = state.met(address(other), false));
     }
-    let slack = gateways[0].terms().budget.slack;
+    let slack = gateways[0].options().budget.slack;
     for tick in 0..400 {
         for from in 0..count {
             let other = (from + random.random_range(1..count)) % count;
--- a/tests/testsuite/watches.rs
+++ b/tests/testsuite/watches.rs
@@ -10,8 +10,8 @@
 
 use async_trait::async_trait;
 use cinderspoke::gateway::follow;
+use cinderspoke::gateway::options::Options;
 use cinderspoke::gateway::state::State;
-use cinderspoke::gateway::terms::Terms;
 use cinderspoke::util::clock::Clock;
 use cinderspoke_core::gateway::catalog::Declared;
 use cinderspoke_core::gateway::directory::{Change, Directory};
@@ -121,7 +121,7 @@
 /// Such a gateway, with a clock of its own.
 fn following_by(clock: Clock, calls: &[Call]) -> (Arc<State>, Arc<Versions>) {
     let settings = settings();
-    let state = State::new(&settings, Terms::new(&settings), clock);
+    let state = State::new(&settings, Options::new(&settings), clock);
     let (state, calls) = (Arc::new(state), calls.iter().copied().collect());
     let (watches, forgotten) = (AtomicU32::new(0), AtomicU32::new(0));
     let store = Arc::new(Versions { calls: Mutex::new(calls), watches, forgotten });
@@ -141,7 +141,7 @@
 
 /// Waits until the second version is known; gives how much of its time the first has lost.
 async fn lost(state: &State) -> Duration {
-    let whole = state.terms().overlap.clear;
+    let whole = state.options().overlap.clear;
     loop {
         if let Some(left) = left(state) {
             return whole - left;
@@ -188,7 +188,7 @@
     let heard = Instant::now();
     let lost = lost(&state).await;
     // It has no more than its whole time to lose.
-    let unheard = heard.elapsed().min(state.terms().overlap.clear);
+    let unheard = heard.elapsed().min(state.options().overlap.clear);
     assert!(lost + Duration::from_millis(20) >= unheard, "{lost:?} of {unheard:?}");
 }
 
@@ -198,7 +198,7 @@
     let heard = Instant::now();
     let lost = lost(&state).await;
     // It has no more than its whole time to lose.
-    let unheard = heard.elapsed().min(state.terms().overlap.clear);
+    let unheard = heard.elapsed().min(state.options().overlap.clear);
     assert!(unheard >= Duration::from_millis(500), "{unheard:?}");
     assert!(lost + Duration::from_millis(20) >= unheard, "{lost:?} of {unheard:?}");
 }
