--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -92,7 +92,7 @@
             self.state.asked_gateway(gateway);
             if self.state.role() == Role::Reader {
                 // The store's own word should be here by now.
-                self.state.doubt();
+                self.state.request_resync();
             }
             if let Err(error) = self.fetch(gateway, pause).await {
                 tracing::debug!(%gateway, error = format!("{error:#}"), "asking a gateway");
@@ -144,11 +144,11 @@
         }
         let awaited = self.awaited_list().take();
         let Some(Awaited { from, known, is_near, .. }) = awaited else { return };
-        if !knows_more(&known, &self.state.known()) {
+        if !knows_more(&known, &self.state.summary()) {
             return;
         }
         if self.state.role() == Role::Reader {
-            self.state.doubt();
+            self.state.request_resync();
         }
         let pause = if is_near { NEAR_PAUSE } else { FAR_PAUSE };
         if let Err(error) = self.fetch(from, pause).await {
@@ -171,7 +171,7 @@
     /// Asks a gateway for what it knows more, with the hash of the configuration by which it
     /// may tell the newer one.
     async fn ask(&self, from: SocketAddr, pause: Duration, held: Hash) -> Result<Facts> {
-        let known = self.state.known();
+        let known = self.state.summary();
         let path = format!(
             "/v1/facts?configuration={}&configuration_hash={}&directory={}&directory_hash={}",
             known.configuration, held.0, known.directory.0, known.directory_hash,
@@ -191,9 +191,9 @@
 
     /// Takes in what a gateway told.
     fn take_in(&self, facts: Facts) -> Result<(), ApplyError> {
-        let known = self.state.known();
+        let known = self.state.summary();
         if let Some(directory) = facts.directory.filter(|list| list.revision > known.directory) {
-            self.state.listed(directory, "gateway");
+            self.state.apply_directory(directory, "gateway");
         }
         match facts.configuration {
             Some(configuration) => self.state.told_configuration(configuration),
--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -147,7 +147,7 @@
                 let due = clock.now();
                 watch.record_failure(due);
                 source.answered(false);
-                state.platform_failed(due);
+                state.record_store_failure(due);
                 draw::given_up(source.name(), &progress);
                 tell_failure(&*source, &state, &watch, &error);
                 sleep(backoff(&error, watch.failures())).await;
@@ -156,12 +156,12 @@
                 let due = clock.now().saturating_sub(MARGIN);
                 watch.record_failure(due);
                 source.answered(false);
-                state.platform_failed(due);
+                state.record_store_failure(due);
                 let error = Error::Unavailable(format!("no answer within {limit:?}"));
                 tell_failure(&*source, &state, &watch, &error);
                 if revision.is_some() && watch.failures() == 1 {
                     // What silenced this watch may have silenced the others.
-                    state.doubt();
+                    state.request_resync();
                 }
                 late.push_back(call);
                 late.drain(..late.len().saturating_sub(LATE_CALLS));
@@ -242,7 +242,7 @@
     watch: &Watch,
     silence: Silence<'_>,
 ) -> Asked<'a> {
-    let mut doubts = state.doubts();
+    let mut doubts = state.resync_requests();
     let overtaken = async {
         // A store that does not answer is not hurried.
         if watch.failures() > 0 {
@@ -290,9 +290,9 @@
         tracing::info!(kind, failures, unheard_ms, "store answers again");
     }
     if failures >= OUTAGE_FAILURES {
-        state.platform_returned();
+        state.record_outage_end();
     }
-    state.platform_answered();
+    state.record_store_answer();
     let revision = answer(watch.freshness(now));
     match revision {
         Some(_) => watch.record_complete(now),
@@ -309,16 +309,16 @@
         tracing::info!(kind, unheard_ms, %error, "store did not answer");
     }
     if watch.failures() == OUTAGE_FAILURES {
-        state.platform_lost(watch.unanswered_since());
+        state.record_outage_start(watch.unanswered_since());
         tracing::warn!(kind, %error, "store lost");
     }
 }
 
 /// Gives up entries that are kept around an outage as each has had its time.
 async fn settle(state: Arc<State>) {
-    let mut kept = state.entries_kept();
+    let mut kept = state.retention_changes();
     loop {
-        match state.next_settled() {
+        match state.next_retention_end() {
             None => kept.changed().await,
             Some(due) => {
                 let left = due.saturating_sub(state.clock().now());
@@ -328,7 +328,7 @@
                 }
             }
         }
-        state.settle();
+        state.expire_retained();
     }
 }
 
@@ -368,7 +368,7 @@
         match met.await {
             Ok(gateways) => {
                 let others = gateways.into_iter().filter(|gateway| *gateway != own);
-                others.for_each(|gateway| _ = shared.state.met(gateway, false));
+                others.for_each(|gateway| _ = shared.state.observe_gateway(gateway, false));
                 return;
             }
             Err(error) => {
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -84,7 +84,7 @@
     }
 
     /// Puts a configuration in force, at a revision of the store at which it is the newest.
-    pub fn put_in_force(&mut self, catalog: Arc<Catalog>, revision: Revision) {
+    pub fn set_catalog(&mut self, catalog: Arc<Catalog>, revision: Revision) {
         let revision = revision.max(self.configuration.revision);
         let now = Fact::new(revision, Some(catalog));
         let before = std::mem::replace(&mut self.configuration, now);
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -38,9 +38,9 @@
         let now = self.clock().now();
         let mut inner = self.lock();
         if inner.notices.record_drain(run, now) {
-            self.leave(&mut inner, &[run], from);
+            self.drain_runs(&mut inner, &[run], from);
             drop(inner);
-            self.tell_others();
+            self.publish();
         }
     }
 
@@ -61,9 +61,9 @@
         let mut inner = self.lock();
         let news = inner.notices.merge(told, now);
         if !news.is_empty() {
-            self.leave(&mut inner, &news, "gateway");
+            self.drain_runs(&mut inner, &news, "gateway");
             drop(inner);
-            self.tell_others();
+            self.publish();
         }
     }
 
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -93,7 +93,7 @@
     /// Adds a gateway that others name; true when it was not known and is to be greeted: it
     /// may be of this region, where those who read have to know of it.
     pub fn introduced(&self, gateway: Named) -> bool {
-        let is_new = self.met(gateway.address, false);
+        let is_new = self.observe_gateway(gateway.address, false);
         let options = self.options();
         let regions = options.regions.values().map(|region| Region::from(region.as_str()));
         let region = regions.into_iter().find(|region| gateway.region == Some(Tag::of(region)));
@@ -192,7 +192,7 @@
                 difference.apply(&before)?
             }
         };
-        self.put_in_force(Fact::new(revision, catalog), "gateway");
+        self.apply_catalog(Fact::new(revision, catalog), "gateway");
         Ok(())
     }
 }
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -131,7 +131,7 @@
                     answers,
                 } => {
                     let endpoint = (service.clone(), engine);
-                    self.state.reported(endpoint, from, report, told, answers.is_some());
+                    self.state.record_report(endpoint, from, report, told, answers.is_some());
                     if let Some(number) = answers {
                         self.state.queries().record_answer(number);
                         continue;
@@ -158,14 +158,14 @@
         if from == self.own {
             return;
         }
-        self.state.met(from, true);
+        self.state.observe_gateway(from, true);
         let is_stranger = self.state.heard(from, &known);
         self.meet(others).await;
-        let own = self.state.known();
+        let own = self.state.summary();
         self.state.told_versions(&known.ages, known.rollout_revision);
         self.state.told_suspects(&known.suspects);
         self.state.told_leaving(&known.leaving);
-        self.state.told_answers(&known.answers);
+        self.state.merge_store_answers(&known.answers);
         if let Some(emptied) = known.emptied.clone() {
             self.state.evacuated(emptied, "gateway");
         }
@@ -332,7 +332,7 @@
         let count = others.len().min(NAMED_GATEWAYS);
         let sampled = rand::seq::index::sample(&mut rand::rng(), others.len(), count);
         let gateways = self.state.names(sampled.into_iter().map(|number| others[number]));
-        pack(&Datagram::Digest { from: self.own, known: self.state.known(), gateways })
+        pack(&Datagram::Digest { from: self.own, known: self.state.summary(), gateways })
     }
 }
 
--- a/src/cinderspoke/gateway/source.rs
+++ b/src/cinderspoke/gateway/source.rs
@@ -147,7 +147,7 @@
     /// Until when after its start a gateway waits since others have lately come to be known:
     /// who comes before it and reads may be the next.
     fn others_known_at(&self) -> Duration {
-        self.state.met_at() + NEXT_WORD
+        self.state.discovered_at() + NEXT_WORD
     }
 
     /// Among how many gateways the asking is shared for what few of them read.
@@ -194,7 +194,7 @@
     fn learn(&self, fact: Fact<Option<Declared>>, progress: &Progress) {
         if let Some(declared) = fact.value {
             draw::came(STORE, STORE, declared.version, progress);
-            self.0.state.configured(Fact::new(fact.revision, declared), STORE);
+            self.0.state.apply_configuration(Fact::new(fact.revision, declared), STORE);
         }
         self.0.state.configuration_confirmed(fact.revision);
     }
@@ -313,7 +313,7 @@
 
     async fn read(&self, _: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.endpoints().await?;
-        let listed = |fact| _ = self.0.state.listed(fact, STORE);
+        let listed = |fact| _ = self.0.state.apply_directory(fact, STORE);
         Ok(Box::new(move |_| Some(take(read, listed))))
     }
 
@@ -324,14 +324,14 @@
         _: &Progress,
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_endpoints(after, wait).await?;
-        let changed = |fact| _ = self.0.state.changed(fact, STORE);
+        let changed = |fact| _ = self.0.state.apply_directory_changes(fact, STORE);
         Ok(Box::new(move |_| take_news(seen, changed)))
     }
 
     fn gather(&self) -> Duration {
         let gather = self.0.state.options().gather;
         // Entries that come back late after an outage are given up for a while.
-        let awaits_entries = self.0.state.next_settled().is_some();
+        let awaits_entries = self.0.state.next_retention_end().is_some();
         if awaits_entries { gather.min(GATHER_AFTER_OUTAGE) } else { gather }
     }
 
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -87,16 +87,16 @@
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         if self.clock.now().as_millis() as u64 > self.counted_until.load(Ordering::Relaxed) {
-            self.count_anew();
+            self.recount_gateways();
         }
         self.view.load_full()
     }
 
     /// Counts gateways without other news: the share of one that ended is given to the
     /// others when it has been silent for too long.
-    fn count_anew(&self) {
+    fn recount_gateways(&self) {
         let inner = self.lock();
-        let (before, gateways) = (self.view.load_full(), self.count(&inner));
+        let (before, gateways) = (self.view.load_full(), self.count_gateways(&inner));
         if before.gateways != gateways {
             tracing::info!(gateways, before = before.gateways, "gateways counted anew");
             self.view.store(Arc::new(View { gateways, ..View::clone(&before) }));
@@ -104,7 +104,7 @@
     }
 
     /// How many gateways there are now, this one among them.
-    fn count(&self, inner: &Inner) -> usize {
+    fn count_gateways(&self, inner: &Inner) -> usize {
         let (now, patience) = (self.clock.now(), liveness_timeout(inner.gateways.len()));
         let silent_at = inner.gateways.values().map(|heard| *heard + patience);
         let alive = silent_at.filter(|silent_at| *silent_at >= now);
@@ -126,7 +126,7 @@
     pub fn set_options(&self, options: Options) {
         let mut inner = self.lock();
         self.options.store(Arc::new(options));
-        self.show(&mut inner);
+        self.rebuild_view(&mut inner);
         drop(inner);
         self.changes.raise();
     }
@@ -168,7 +168,7 @@
     }
 
     /// Has others told soon of what is news.
-    pub fn tell_others(&self) {
+    pub fn publish(&self) {
         self.changes.raise();
     }
 
@@ -179,27 +179,27 @@
     }
 
     /// Takes in that the store may have news that its watches did not bring.
-    pub fn doubt(&self) {
+    pub fn request_resync(&self) {
         self.doubts.raise();
     }
 
     /// A way to wait for the next doubt about the store's watches.
     #[must_use]
-    pub fn doubts(&self) -> Receiver {
+    pub fn resync_requests(&self) -> Receiver {
         self.doubts.subscribe()
     }
 
     /// Takes in a configuration; true when it is newer than the one in force.
-    pub fn configured(&self, fact: Fact<Declared>, from: &str) -> bool {
+    pub fn apply_configuration(&self, fact: Fact<Declared>, from: &str) -> bool {
         // Indexing it is spared where it is known.
         if !self.lock().is_newer(fact.value.version) {
             return false;
         }
-        self.put_in_force(Fact::new(fact.revision, fact.value.into()), from)
+        self.apply_catalog(Fact::new(fact.revision, fact.value.into()), from)
     }
 
     /// Puts a configuration in force, if it is newer than the one that is.
-    pub(super) fn put_in_force(&self, fact: Fact<Catalog>, from: &str) -> bool {
+    pub(super) fn apply_catalog(&self, fact: Fact<Catalog>, from: &str) -> bool {
         let Fact { revision, value: catalog } = fact;
         let mut inner = self.lock();
         let before = inner.version();
@@ -216,8 +216,8 @@
         if !unknown.is_empty() {
             tracing::warn!(version, ?unknown, "routes or teams name regions that nobody knows");
         }
-        inner.put_in_force(Arc::new(catalog), revision);
-        self.show(&mut inner);
+        inner.set_catalog(Arc::new(catalog), revision);
+        self.rebuild_view(&mut inner);
         drop(inner);
         tracing::info!(version, before, from, behind_ms, "configuration in force");
         self.changes.raise();
@@ -225,36 +225,36 @@
     }
 
     /// Takes in the whole list of endpoints.
-    pub fn listed(&self, fact: Fact<Directory>, from: &str) -> bool {
+    pub fn apply_directory(&self, fact: Fact<Directory>, from: &str) -> bool {
         let now = self.clock.now();
-        self.keep(from, |tracker| tracker.replace(fact.revision, fact.value, now))
+        self.change_directory(from, |tracker| tracker.replace(fact.revision, fact.value, now))
     }
 
     /// Takes in changes of the list of endpoints.
-    pub fn changed(&self, fact: Fact<Vec<Change>>, from: &str) -> bool {
+    pub fn apply_directory_changes(&self, fact: Fact<Vec<Change>>, from: &str) -> bool {
         let now = self.clock.now();
-        self.keep(from, |tracker| tracker.apply(fact.revision, fact.value, now))
+        self.change_directory(from, |tracker| tracker.apply(fact.revision, fact.value, now))
     }
 
     /// Takes in that the platform should have answered a call at a time, and has not.
-    pub fn platform_failed(&self, due: Duration) {
+    pub fn record_store_failure(&self, due: Duration) {
         self.lock().outage.record_failure(due);
     }
 
     /// Takes in that the platform has not answered since a time.
-    pub fn platform_lost(&self, since: Duration) {
+    pub fn record_outage_start(&self, since: Duration) {
         self.lock().outage.record_loss(since);
     }
 
     /// Takes in that the platform has answered.
-    pub fn platform_answered(&self) {
+    pub fn record_store_answer(&self) {
         let now = self.clock.now();
         self.lock().outage.record_answer(now);
     }
 
     /// Takes in that the platform answers again after it had been away. Where it
     /// answered others meanwhile, no entries have lapsed by that.
-    pub fn platform_returned(&self) {
+    pub fn record_outage_end(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.outage.record_return(now);
@@ -266,7 +266,7 @@
     }
 
     /// Takes in how long ago the platform answered some gateway.
-    pub fn told_answers(&self, answers: &[Ago]) {
+    pub fn merge_store_answers(&self, answers: &[Ago]) {
         let now = self.clock.now();
         let mut inner = self.lock();
         if !inner.outage.merge_answers(answers, now) {
@@ -275,29 +275,29 @@
         drop(inner);
         let last_ms = answers.first().map(|ago| Duration::from(*ago).as_millis() as u64);
         tracing::info!(last_ms, "only this gateway was cut off");
-        self.keep("gateway", Tracker::record_local_outage);
+        self.change_directory("gateway", Tracker::record_local_outage);
     }
 
     /// When an entry that is kept is to be given up next; none if none is.
     #[must_use]
-    pub fn next_settled(&self) -> Option<Duration> {
+    pub fn next_retention_end(&self) -> Option<Duration> {
         self.lock().tracker.next_expiry()
     }
 
     /// A way to wait until other entries are kept than before.
     #[must_use]
-    pub fn entries_kept(&self) -> Receiver {
+    pub fn retention_changes(&self) -> Receiver {
         self.kept.subscribe()
     }
 
     /// Gives up entries that lapsed while the platform was away and are not back.
-    pub fn settle(&self) {
+    pub fn expire_retained(&self) {
         let now = self.clock.now();
-        self.keep("outage", |tracker| tracker.expire(now));
+        self.change_directory("outage", |tracker| tracker.expire(now));
     }
 
     /// Changes the list of endpoints; makes it known if it is another then.
-    fn keep(&self, from: &str, change: impl FnOnce(&mut Tracker) -> bool) -> bool {
+    fn change_directory(&self, from: &str, change: impl FnOnce(&mut Tracker) -> bool) -> bool {
         let mut inner = self.lock();
         let due = inner.tracker.next_expiry();
         let changed = change(&mut inner.tracker);
@@ -306,7 +306,7 @@
         }
         if changed {
             inner.follow_directory(self.clock.now());
-            self.show(&mut inner);
+            self.rebuild_view(&mut inner);
             let (endpoints, revision) = (inner.targets.len(), inner.tracker.revision().0);
             drop(inner);
             tracing::info!(endpoints, revision, from, "endpoints changed");
@@ -317,7 +317,7 @@
 
     /// Takes in what an agent says of the endpoint of a service at an address, by itself or
     /// in answer to a question.
-    pub fn reported(
+    pub fn record_report(
         &self,
         endpoint: (Service, SocketAddr),
         agent: SocketAddr,
@@ -350,7 +350,7 @@
     /// Takes in that a gateway was heard of, by itself or by others. One that others
     /// name for the first time counts as heard of: if it lives, it spends its share.
     /// True when it was not known at all.
-    pub fn met(&self, gateway: SocketAddr, itself: bool) -> bool {
+    pub fn observe_gateway(&self, gateway: SocketAddr, itself: bool) -> bool {
         let now = self.clock.now();
         let mut inner = self.lock();
         let known = inner.gateways.contains_key(&gateway);
@@ -365,14 +365,14 @@
         }
         if !known || (itself && !alive) {
             tracing::info!(%gateway, itself, "gateway heard of");
-            self.show(&mut inner);
+            self.rebuild_view(&mut inner);
         }
         !known
     }
 
     /// When another gateway last came to be known; zero before any.
     #[must_use]
-    pub fn met_at(&self) -> Duration {
+    pub fn discovered_at(&self) -> Duration {
         self.lock().met_at
     }
 
@@ -384,7 +384,7 @@
 
     /// What is known, in a few words that tell whether another process knows more.
     #[must_use]
-    pub fn known(&self) -> Known {
+    pub fn summary(&self) -> Known {
         let now = self.clock.now();
         let (suspects, announcement) = (self.suspects.tell(now), self.announcement());
         Known { suspects, announcement, ..self.lock().known(now) }
@@ -414,16 +414,16 @@
     }
 
     /// Has runs of endpoints get nothing more, since they leave.
-    pub(super) fn leave(&self, inner: &mut Inner, runs: &[Run], from: &str) {
+    pub(super) fn drain_runs(&self, inner: &mut Inner, runs: &[Run], from: &str) {
         for target in inner.targets.values().filter(|target| runs.contains(&target.run)) {
             target.set_draining();
             tracing::info!(endpoint = %target.name, from, "endpoint leaves");
         }
-        self.show(inner);
+        self.rebuild_view(inner);
     }
 
     /// Makes what is known visible to requests.
-    pub(super) fn show(&self, inner: &mut Inner) {
+    pub(super) fn rebuild_view(&self, inner: &mut Inner) {
         let mut members: BTreeMap<Service, Vec<Member>> = BTreeMap::new();
         for (target, entry) in inner.ready().filter(|(target, _)| !target.is_draining()) {
             let (target, entry) = (Arc::clone(target), entry.clone());
@@ -433,7 +433,7 @@
             let members = members.entry(entry.service.clone()).or_default();
             members.push(Member { target, entry, distance, region, is_emptied });
         }
-        let gateways = self.count(inner);
+        let gateways = self.count_gateways(inner);
         self.view.store(Arc::new(View {
             number: self.view.load().number + 1,
             catalog: inner.configuration.value.clone(),
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -125,7 +125,7 @@
             Change::Released | Change::None => {}
         }
         if news != Change::None {
-            self.tell_others();
+            self.publish();
         }
         news
     }
@@ -138,7 +138,7 @@
         }
         if news != Change::None {
             tracing::info!(%fingerprint, "a suspected request was served");
-            self.tell_others();
+            self.publish();
         }
     }
 
@@ -148,7 +148,7 @@
             Admission::Pass => None,
             Admission::Probe => {
                 tracing::info!(%fingerprint, "a request that was held back is tried");
-                self.tell_others();
+                self.publish();
                 None
             }
             Admission::Quarantined(left) => Some(left),
@@ -166,7 +166,7 @@
             tracing::info!(%fingerprint, "a request is held back, as the store tells");
         }
         if !found.is_empty() {
-            self.tell_others();
+            self.publish();
         }
     }
 
@@ -180,7 +180,7 @@
             self.suspects().pending.set(*fingerprint, true);
         }
         if merged.changed {
-            self.tell_others();
+            self.publish();
         }
     }
 }
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -80,11 +80,11 @@
         if !learn(&mut inner) {
             return;
         }
-        self.show(&mut inner);
+        self.rebuild_view(&mut inner);
         let ages = inner.timeline.ages(self.clock().now());
         drop(inner);
         tracing::info!(?ages, from, "versions named");
-        self.tell_others();
+        self.publish();
     }
 
     /// The versions that were named, and for how long.
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -32,7 +32,7 @@
         }
         let now = self.clock().now();
         inner.reopen(&before, now);
-        self.show(&mut inner);
+        self.rebuild_view(&mut inner);
         let zones = inner.evacuation.known().cloned().unwrap_or_default().value;
         let unknown: Vec<_> = zones.iter().filter(|zone| !self.is_zone(zone)).collect();
         if !unknown.is_empty() {
@@ -40,7 +40,7 @@
         }
         tracing::info!(?zones, from, "emptied zones changed");
         drop(inner);
-        self.tell_others();
+        self.publish();
     }
 
     /// Whether the settings name an availability zone.
--- a/tests/testsuite/late.rs
+++ b/tests/testsuite/late.rs
@@ -138,7 +138,7 @@
     let state = State::new(&settings, Options::new(&settings), Clock::start());
     let state = Arc::new(state);
     for other in 1..=others {
-        state.met(SocketAddr::from(([10, 9, 0, 1], other)), true);
+        state.observe_gateway(SocketAddr::from(([10, 9, 0, 1], other)), true);
     }
     let registry: Arc<dyn Registry> = Arc::clone(store) as _;
     follow::spawn(&state, &registry, &settings, token.clone());
@@ -188,7 +188,7 @@
         let store = Late::new(Duration::ZERO, news, &[Call::Refused, Call::Silent]);
         let (state, token) = following(&store, MANY);
         sleep(news).await;
-        state.doubt();
+        state.request_resync();
         longest = longest.max(learned(&state, &store).await);
         token.cancel();
     }
@@ -202,7 +202,7 @@
         let store = Late::new(Duration::ZERO, news, &[Call::Silent]);
         let (state, token) = following(&store, MANY);
         sleep(news).await;
-        state.doubt();
+        state.request_resync();
         let learned = learned(&state, &store).await;
         assert!(learned < MADE_ANEW, "{learned:?}");
         token.cancel();
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -41,13 +41,13 @@
     for (own, state) in gateways.iter().enumerate() {
         // What the store names at the start.
         let others = (0..count).filter(|other| *other != own);
-        others.for_each(|other| _ = state.met(address(other), false));
+        others.for_each(|other| _ = state.observe_gateway(address(other), false));
     }
     let slack = gateways[0].options().budget.slack;
     for tick in 0..400 {
         for from in 0..count {
             let other = (from + random.random_range(1..count)) % count;
-            gateways[other].met(address(from), true);
+            gateways[other].observe_gateway(address(from), true);
         }
         let spent = spent(&gateways);
         assert!(spent as f64 <= slack, "{spent} of {slack} by {count} in tick {tick}");
--- a/tests/testsuite/watches.rs
+++ b/tests/testsuite/watches.rs
@@ -153,7 +153,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_goes_silent_raises_one_doubt() {
     let (state, store) = following(&[Call::Silent, Call::Silent, Call::Silent]);
-    let mut doubts = state.doubts();
+    let mut doubts = state.resync_requests();
     assert!(timeout(ONE_WATCH, doubts.changed()).await.is_ok(), "no doubt");
     while watches(&store) < 4 {
         let doubt = timeout(MOMENT, doubts.changed()).await;
@@ -165,7 +165,7 @@
 async fn what_comes_soon_after_a_doubt_comes_over_the_watch_that_was_in_doubt() {
     let (state, _store) = following(&[Call::News(Duration::from_millis(350))]);
     sleep(Duration::from_millis(50)).await;
-    state.doubt();
+    state.request_resync();
     let lost = timeout(ONE_WATCH, lost(&state)).await;
     assert!(matches!(lost, Ok(lost) if lost < Duration::from_millis(5)), "{lost:?}");
 }
@@ -176,7 +176,7 @@
     while watches(&store) < 2 {
         sleep(Duration::from_millis(1)).await;
     }
-    state.doubt();
+    state.request_resync();
     sleep(2 * MOMENT).await;
     assert_eq!(watches(&store), 2);
 }
