--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -476,6 +476,6 @@
     /// How much longer a version may begin requests; none while it is the newest.
     fn version_left(&self, version: Version, narrow: bool) -> Option<Duration> {
         let model = self.parsed.call.model.as_ref()?;
-        self.context.state.version_left(model, version, narrow)
+        self.context.state.version_time_left(model, version, narrow)
     }
 }
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -69,7 +69,7 @@
                 relay.fetch_from_others().await;
                 relay.awaiting_configuration.store(false, Ordering::SeqCst);
                 // What was told just before that began no other draw.
-                let is_done = relay.state.next_step(0.0) == Step::Idle;
+                let is_done = relay.state.next_fetch_step(0.0) == Step::Idle;
                 if is_done || relay.awaiting_configuration.swap(true, Ordering::SeqCst) {
                     return;
                 }
@@ -80,7 +80,7 @@
     /// Asks one gateway after the other until none is known that has a newer configuration.
     async fn fetch_from_others(&self) {
         loop {
-            let (gateway, pause) = match self.state.next_step(rand::random()) {
+            let (gateway, pause) = match self.state.next_fetch_step(rand::random()) {
                 Step::FetchNear(gateway) => (gateway, NEAR_PAUSE),
                 Step::FetchFar(gateway) => (gateway, FAR_PAUSE),
                 Step::Wait(time) => {
@@ -89,7 +89,7 @@
                 }
                 Step::Idle => return,
             };
-            self.state.asked_gateway(gateway);
+            self.state.record_fetch_attempt(gateway);
             if self.state.role() == Role::Reader {
                 // The store's own word should be here by now.
                 self.state.request_resync();
@@ -159,7 +159,7 @@
     /// Asks a gateway for what it knows more; for the whole configuration where what differs
     /// does not fit.
     async fn fetch(&self, from: SocketAddr, pause: Duration) -> Result<()> {
-        let (_, held) = self.state.configuration_held();
+        let (_, held) = self.state.configuration_identity();
         let facts = self.ask(from, pause, held).await?;
         if let Err(misfit) = self.take_in(facts) {
             tracing::warn!(%from, %misfit, "a configuration does not fit");
@@ -196,7 +196,7 @@
             self.state.apply_directory(directory, "gateway");
         }
         match facts.configuration {
-            Some(configuration) => self.state.told_configuration(configuration),
+            Some(configuration) => self.state.apply_configuration_update(configuration),
             None => Ok(()),
         }
     }
@@ -233,7 +233,7 @@
     let facts = Facts {
         configuration: state.configuration_after(asked.configuration, held),
         directory: state.directory_after(Revision(asked.directory), asked.directory_hash),
-        gateways: state.names(relay.others()),
+        gateways: state.gateway_infos(relay.others()),
         suspects: state.suspects().tell_all(state.clock().now()),
     };
     pack(&facts).into()
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -17,24 +17,24 @@
     ///
     /// The list of endpoints reports this later, and not at all while the store accepts no
     /// writes. Without this, requests would still be sent to endpoints that leave or rest.
-    pub fn heed(&self, parsed: &Parsed, target: &Arc<Target>, said: &AnswerHead) {
+    pub fn observe_answer_head(&self, parsed: &Parsed, target: &Arc<Target>, said: &AnswerHead) {
         if said.leaves && !target.is_draining() {
             let (id, endpoint) = (&parsed.call.id, &target.name);
             tracing::info!(%id, %endpoint, "an endpoint says that it leaves");
-            self.state.leaves(target.run, "answer");
+            self.state.record_drain(target.run, "answer");
         }
         if let Some(cold) = said.cold {
             target.extend_cold(self.clock.now() + cold);
         }
         if let Some(rest) = said.rest {
-            self.state.rests(target, rest);
+            self.state.record_backoff(target, rest);
         }
     }
 }
 
 impl State {
     /// Takes in that a run of an endpoint leaves; it gets nothing more.
-    fn leaves(&self, run: Run, from: &str) {
+    fn record_drain(&self, run: Run, from: &str) {
         let now = self.clock().now();
         let mut inner = self.lock();
         if inner.notices.record_drain(run, now) {
@@ -46,14 +46,14 @@
 
     /// Takes in what an agent heard of its engine's leaving. The word may be of another run
     /// than the one that is listed.
-    pub(super) fn told_departure(&self, target: &Target, departure: Drain) {
+    pub(super) fn record_agent_drain(&self, target: &Target, departure: Drain) {
         if target.matches_start(departure.start) && !target.is_draining() {
-            self.leaves(target.run, "agent");
+            self.record_drain(target.run, "agent");
         }
     }
 
     /// Takes in which endpoints leave, as another gateway knows it.
-    pub fn told_leaving(&self, told: &[Update]) {
+    pub fn merge_drains(&self, told: &[Update]) {
         if told.is_empty() {
             return;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Takes in that an endpoint wants no requests of this gateway for a while.
-    fn rests(&self, target: &Target, rest: Duration) {
+    fn record_backoff(&self, target: &Target, rest: Duration) {
         let until = self.clock().now().saturating_add(rest);
         target.extend_backoff(until);
         let mut inner = self.lock();
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -16,7 +16,7 @@
 impl State {
     /// Takes in what another gateway says of itself and of its configuration; true when it
     /// was not heard of before.
-    pub fn heard(&self, from: SocketAddr, known: &Known) -> bool {
+    pub fn observe_summary(&self, from: SocketAddr, known: &Known) -> bool {
         let (now, version) = (self.clock().now(), known.configuration);
         let mut inner = self.lock();
         let is_new = inner.region.observe(from, &known.announcement, version, now);
@@ -35,7 +35,7 @@
     }
 
     /// Takes in that the store has no newer configuration at a revision.
-    pub fn configuration_confirmed(&self, revision: Revision) {
+    pub fn confirm_configuration(&self, revision: Revision) {
         let mut inner = self.lock();
         inner.configuration.revision = inner.configuration.revision.max(revision);
     }
@@ -57,13 +57,13 @@
 
     /// Whether a newer configuration is known, and those who were to tell it have not in time.
     #[must_use]
-    pub fn is_left_behind(&self) -> bool {
+    pub fn is_configuration_overdue(&self) -> bool {
         let behind = self.configuration_behind();
         behind > self.lock().region.own_read_delay(self.clock().now())
     }
 
     /// Takes in whether the store answers this gateway when it asks for the configuration.
-    pub fn configuration_answered(&self, answered: bool) {
+    pub fn record_configuration_call(&self, answered: bool) {
         self.lock().region.set_platform_answers(answered);
     }
 
@@ -92,7 +92,7 @@
 
     /// Adds a gateway that others name; true when it was not known and is to be greeted: it
     /// may be of this region, where those who read have to know of it.
-    pub fn introduced(&self, gateway: Named) -> bool {
+    pub fn discover_gateway(&self, gateway: Named) -> bool {
         let is_new = self.observe_gateway(gateway.address, false);
         let options = self.options();
         let regions = options.regions.values().map(|region| Region::from(region.as_str()));
@@ -106,7 +106,7 @@
 
     /// Some gateways as they are named to others.
     #[must_use]
-    pub fn names(&self, gateways: impl IntoIterator<Item = SocketAddr>) -> Vec<Named> {
+    pub fn gateway_infos(&self, gateways: impl IntoIterator<Item = SocketAddr>) -> Vec<Named> {
         let inner = self.lock();
         let region = |gateway| inner.region.region_of(gateway).map(Tag::of);
         let named = gateways.into_iter().map(|address| Named { address, region: region(address) });
@@ -115,7 +115,7 @@
 
     /// The other gateways that are known of a region.
     #[must_use]
-    pub fn gateways_of(&self, region: &Region) -> Vec<SocketAddr> {
+    pub fn gateways_in(&self, region: &Region) -> Vec<SocketAddr> {
         self.lock().region.gateways_in(region)
     }
 
@@ -127,7 +127,7 @@
 
     /// Whether this gateway tells other regions of news.
     #[must_use]
-    pub fn tells_far(&self) -> bool {
+    pub fn gossips_across_regions(&self) -> bool {
         self.lock().region.sends_to_other_regions(self.options().region_count(), self.clock().now())
     }
 
@@ -139,20 +139,20 @@
 
     /// How the configuration is got, if another gateway has a newer one.
     #[must_use]
-    pub fn next_step(&self, draw: f64) -> Step {
+    pub fn next_fetch_step(&self, draw: f64) -> Step {
         let (role, behind) = (self.role(), self.configuration_behind());
         let inner = self.lock();
         inner.region.next_step(inner.version(), behind, role, self.clock().now(), draw)
     }
 
     /// Takes in that a gateway was asked for its configuration.
-    pub fn asked_gateway(&self, gateway: SocketAddr) {
+    pub fn record_fetch_attempt(&self, gateway: SocketAddr) {
         self.lock().region.record_query(gateway);
     }
 
     /// The version of the configuration in force, and what tells it apart from others.
     #[must_use]
-    pub fn configuration_held(&self) -> (u64, Hash) {
+    pub fn configuration_identity(&self) -> (u64, Hash) {
         let inner = self.lock();
         let hash = inner.configuration.value.as_ref().map(|catalog| catalog.hash());
         (inner.version(), hash.unwrap_or_default())
@@ -182,7 +182,7 @@
     /// # Errors
     ///
     /// When it is told by one that is not in force here any more.
-    pub fn told_configuration(&self, fact: Fact<Configuration>) -> Result<(), ApplyError> {
+    pub fn apply_configuration_update(&self, fact: Fact<Configuration>) -> Result<(), ApplyError> {
         let Fact { revision, value } = fact;
         let catalog = match value {
             Configuration::Whole(declared) => Catalog::from(declared),
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -136,7 +136,7 @@
                         self.state.queries().record_answer(number);
                         continue;
                     }
-                    self.state.told_ages(&ages, "agent");
+                    self.state.merge_ages(&ages, "agent");
                     if echo {
                         let echo = Datagram::Echo { from: self.own, told };
                         send(&self.socket, from, &pack(&echo)).await;
@@ -159,15 +159,15 @@
             return;
         }
         self.state.observe_gateway(from, true);
-        let is_stranger = self.state.heard(from, &known);
+        let is_stranger = self.state.observe_summary(from, &known);
         self.meet(others).await;
         let own = self.state.summary();
-        self.state.told_versions(&known.ages, known.rollout_revision);
+        self.state.merge_versions(&known.ages, known.rollout_revision);
         self.state.told_suspects(&known.suspects);
-        self.state.told_leaving(&known.leaving);
+        self.state.merge_drains(&known.leaving);
         self.state.merge_store_answers(&known.answers);
         if let Some(emptied) = known.emptied.clone() {
-            self.state.evacuated(emptied, "gateway");
+            self.state.apply_evacuations(emptied, "gateway");
         }
         let is_behind = knows_more(&own, &known);
         if known.configuration > own.configuration {
@@ -184,7 +184,7 @@
     /// this region, so that each knows of the other.
     pub(super) async fn meet(&self, gateways: Vec<Named>) {
         for gateway in gateways.into_iter().filter(|gateway| gateway.address != self.own) {
-            if self.state.introduced(gateway) {
+            if self.state.discover_gateway(gateway) {
                 send(&self.socket, gateway.address, &self.digest()).await;
             }
         }
@@ -229,7 +229,7 @@
             sampled.into_iter().map(move |number| gateways[number])
         };
         let neighbours = sample(self.state.neighbours());
-        if self.state.tells_far() {
+        if self.state.gossips_across_regions() {
             sample(self.others()).chain(neighbours).collect()
         } else {
             neighbours.collect()
@@ -317,7 +317,7 @@
     /// What this gateway knows, for one of a region: those that are named are of the same one,
     /// if any are known, so that one that starts soon knows who reads there.
     fn digest_for(&self, region: &Region) -> Vec<u8> {
-        match self.state.gateways_of(region) {
+        match self.state.gateways_in(region) {
             near if near.is_empty() => self.digest(),
             near => self.digest_naming(near),
         }
@@ -331,7 +331,7 @@
     fn digest_naming(&self, others: Vec<SocketAddr>) -> Vec<u8> {
         let count = others.len().min(NAMED_GATEWAYS);
         let sampled = rand::seq::index::sample(&mut rand::rng(), others.len(), count);
-        let gateways = self.state.names(sampled.into_iter().map(|number| others[number]));
+        let gateways = self.state.gateway_infos(sampled.into_iter().map(|number| others[number]));
         pack(&Datagram::Digest { from: self.own, known: self.state.summary(), gateways })
     }
 }
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -128,7 +128,7 @@
         Ok(Ok(response)) => {
             let (head, body) = response.into_parts();
             let info = context.dialect.answer(&head);
-            context.heed(parsed, target, &info);
+            context.observe_answer_head(parsed, target, &info);
             Ok(Answer { head, info, body, connection, sent })
         }
         Ok(Err(mut error)) => {
--- a/src/cinderspoke/gateway/source.rs
+++ b/src/cinderspoke/gateway/source.rs
@@ -196,7 +196,7 @@
             draw::came(STORE, STORE, declared.version, progress);
             self.0.state.apply_configuration(Fact::new(fact.revision, declared), STORE);
         }
-        self.0.state.configuration_confirmed(fact.revision);
+        self.0.state.confirm_configuration(fact.revision);
     }
 }
 
@@ -239,31 +239,31 @@
     async fn needless(&self) {
         let state = &self.0.state;
         let mut changes = state.subscribe();
-        let (version, role) = (state.configuration_held().0, state.role());
+        let (version, role) = (state.configuration_identity().0, state.role());
         loop {
             tokio::select! {
                 () = changes.changed() => {}
                 () = sleep(LOOK_AT_ROLE) => {}
             }
             let hands_over = role == Role::Reader && state.role() == Role::Follower;
-            if hands_over || state.configuration_held().0 != version {
+            if hands_over || state.configuration_identity().0 != version {
                 return;
             }
         }
     }
 
     fn is_left_behind(&self) -> bool {
-        self.0.state.is_left_behind()
+        self.0.state.is_configuration_overdue()
     }
 
     fn answered(&self, answered: bool) {
-        self.0.state.configuration_answered(answered);
+        self.0.state.record_configuration_call(answered);
     }
 }
 
 impl Versions {
     fn learn(&self, fact: Fact<Rollout>, freshness: Freshness) {
-        self.0.state.named(&fact, freshness);
+        self.0.state.apply_rollout(&fact, freshness);
     }
 }
 
@@ -297,7 +297,7 @@
     }
 
     fn told_at(&self) -> Duration {
-        self.0.state.rollout_told_at()
+        self.0.state.rollout_gossiped_at()
     }
 
     fn shared(&self) -> &Shared {
@@ -356,7 +356,7 @@
 
     async fn read(&self, _: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.evacuations().await?;
-        let listed = |fact| self.0.state.evacuated(fact, STORE);
+        let listed = |fact| self.0.state.apply_evacuations(fact, STORE);
         Ok(Box::new(move |_| Some(take(read, listed))))
     }
 
@@ -367,7 +367,7 @@
         _: &Progress,
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_evacuations(after, wait).await?;
-        let changed = |fact| self.0.state.evacuations_changed(fact, STORE);
+        let changed = |fact| self.0.state.apply_evacuation_changes(fact, STORE);
         Ok(Box::new(move |_| take_news(seen, changed)))
     }
 
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -331,7 +331,7 @@
         };
         if let Some(target) = target {
             if let Some(departure) = report.drain {
-                self.told_departure(&target, departure);
+                self.record_agent_drain(&target, departure);
             }
             let mut tracking = target.tracking();
             tracking.agent = Some(agent);
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -16,13 +16,13 @@
     /// it first reads the store may have been named long before it started; what
     /// the store did not say before was named just now, or at some time since the
     /// store last answered: an old version that goes on too long breaks a promise.
-    pub fn named(&self, fact: &Fact<Rollout>, freshness: Freshness) {
+    pub fn apply_rollout(&self, fact: &Fact<Rollout>, freshness: Freshness) {
         let (now, rollout) = (self.clock().now(), &fact.value);
         let age = match freshness {
             Freshness::New => Age::Seen(Duration::ZERO),
             Freshness::Within(time) => Age::Within(time),
         };
-        self.learn_versions("store", |inner| {
+        self.change_versions("store", |inner| {
             inner.rollout_revision = inner.rollout_revision.max(fact.revision);
             inner.rollout.merge(rollout);
             match &mut inner.stored {
@@ -48,14 +48,14 @@
 
     /// When another gateway last told a newer such revision; zero if none did.
     #[must_use]
-    pub fn rollout_told_at(&self) -> Duration {
+    pub fn rollout_gossiped_at(&self) -> Duration {
         self.lock().rollout_told_at
     }
 
     /// Merges for how long versions have been named, as another gateway knows it by a
     /// revision of the store: whatever was named until then is among them.
-    pub fn told_versions(&self, ages: &Ages, revision: Revision) {
-        self.told_ages(ages, "gateway");
+    pub fn merge_versions(&self, ages: &Ages, revision: Revision) {
+        self.merge_ages(ages, "gateway");
         let now = self.clock().now();
         let mut inner = self.lock();
         if revision > inner.rollout_revision {
@@ -66,16 +66,16 @@
     }
 
     /// Merges for how long versions have been named, as another process knows it.
-    pub fn told_ages(&self, ages: &Ages, from: &str) {
+    pub fn merge_ages(&self, ages: &Ages, from: &str) {
         let now = self.clock().now();
-        self.learn_versions(from, |inner| {
+        self.change_versions(from, |inner| {
             inner.rollout.merge(&ages.rollout());
             inner.timeline.merge(ages, now)
         });
     }
 
     /// Has versions learned; makes them known if any is news, or its age is.
-    fn learn_versions(&self, from: &str, learn: impl FnOnce(&mut Inner) -> bool) {
+    fn change_versions(&self, from: &str, learn: impl FnOnce(&mut Inner) -> bool) {
         let mut inner = self.lock();
         if !learn(&mut inner) {
             return;
@@ -96,7 +96,12 @@
     /// How much longer a model's version may begin requests at an endpoint whose link
     /// is narrow, or is not; none for no end.
     #[must_use]
-    pub fn version_left(&self, model: &Model, version: Version, narrow: bool) -> Option<Duration> {
+    pub fn version_time_left(
+        &self,
+        model: &Model,
+        version: Version,
+        narrow: bool,
+    ) -> Option<Duration> {
         let overlap = self.options().overlap;
         let overlap = if narrow { overlap.narrow } else { overlap.clear };
         self.lock().timeline.remaining(model, version, overlap, self.clock().now())
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -15,12 +15,12 @@
 
 impl State {
     /// Replaces the emptied zones, unless those that are known are newer.
-    pub fn evacuated(&self, told: Fact<BTreeSet<Zone>>, from: &str) {
+    pub fn apply_evacuations(&self, told: Fact<BTreeSet<Zone>>, from: &str) {
         self.change_evacuations(from, |table| table.replace(told));
     }
 
     /// Applies changes of the emptied zones.
-    pub fn evacuations_changed(&self, fact: Fact<Vec<Change>>, from: &str) {
+    pub fn apply_evacuation_changes(&self, fact: Fact<Vec<Change>>, from: &str) {
         self.change_evacuations(from, |table| table.apply(fact.revision, fact.value));
     }
 
@@ -31,7 +31,7 @@
             return;
         }
         let now = self.clock().now();
-        inner.reopen(&before, now);
+        inner.mark_reopened_cold(&before, now);
         self.rebuild_view(&mut inner);
         let zones = inner.evacuation.known().cloned().unwrap_or_default().value;
         let unknown: Vec<_> = zones.iter().filter(|zone| !self.is_zone(zone)).collect();
@@ -72,7 +72,7 @@
     }
 
     /// Counts endpoints as cold whose zones were emptied before and are no longer.
-    fn reopen(&self, before: &BTreeSet<Zone>, now: Duration) {
+    fn mark_reopened_cold(&self, before: &BTreeSet<Zone>, now: Duration) {
         let entries = &self.tracker.directory().entries;
         let reopened = entries
             .iter()
--- a/tests/testsuite/watches.rs
+++ b/tests/testsuite/watches.rs
@@ -136,7 +136,7 @@
 
 /// How much longer the first version may begin requests; none before the second is known.
 fn left(state: &State) -> Option<Duration> {
-    state.version_left(&Model::from("m"), Version(1), false)
+    state.version_time_left(&Model::from("m"), Version(1), false)
 }
 
 /// Waits until the second version is known; gives how much of its time the first has lost.
