--- a/src/cinderspoke/gateway/agents.rs
+++ b/src/cinderspoke/gateway/agents.rs
@@ -34,7 +34,13 @@
     }
 
     /// Takes in which plan an agent knows; whether to hint it at the wanted one now.
-    pub fn reported(&self, from: SocketAddr, service: Service, plan: u64, wanted: u64) -> bool {
+    pub fn record_report(
+        &self,
+        from: SocketAddr,
+        service: Service,
+        plan: u64,
+        wanted: u64,
+    ) -> bool {
         let now = Instant::now();
         let mut agents = self.lock();
         let agent =
@@ -50,7 +56,7 @@
 
     /// The agents that do not know their service's plan, and that plan; they
     /// count as hinted. Those that are gone are forgotten.
-    pub fn behind(&self, plan_of: impl Fn(&Service) -> u64) -> Vec<(SocketAddr, u64)> {
+    pub fn outdated(&self, plan_of: impl Fn(&Service) -> u64) -> Vec<(SocketAddr, u64)> {
         let now = Instant::now();
         let mut hints = Vec::new();
         let mut agents = self.lock();
--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -349,7 +349,7 @@
     /// Whether a member may get the request whatever it is busy with: its zone is not emptied,
     /// and the request may be served in its region.
     fn is_allowed(&self, member: &Member) -> bool {
-        !member.is_emptied && self.residency.allows(&member.region)
+        !member.is_evacuated && self.residency.allows(&member.region)
     }
 
     /// How many members may not get the request, whatever they are busy with.
@@ -359,7 +359,7 @@
         };
         Excluded {
             outside_allowed_regions: count(&|member| !self.residency.allows(&member.region)),
-            in_evacuated_zones: count(&|member| member.is_emptied),
+            in_evacuated_zones: count(&|member| member.is_evacuated),
             cold: count(&|member| self.is_spent(member, &member.target.tracking())),
         }
     }
@@ -370,7 +370,7 @@
             return false;
         };
         let endpoint = Key::of(member.target.name.as_str());
-        let share = bound.share(endpoint, self.context.state.key(), &self.view.others);
+        let share = bound.share(endpoint, self.context.state.key(), &self.view.other_keys);
         tracking.sends.count(self.now) >= share
     }
 
--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -77,7 +77,7 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let view = self.state.view();
-        let knows = view.catalog.is_some() && view.knows_emptied && !view.members.is_empty();
+        let knows = view.catalog.is_some() && view.evacuations_known && !view.members.is_empty();
         !self.is_draining() && knows
     }
 
--- a/src/cinderspoke/gateway/crash.rs
+++ b/src/cinderspoke/gateway/crash.rs
@@ -94,7 +94,7 @@
             sent: self.sent,
             disconnected: self.broke,
         };
-        let news = self.context.state.crashed(self.fingerprint, &crash);
+        let news = self.context.state.record_crash(self.fingerprint, &crash);
         tracing::info!(
             id = %self.request,
             endpoint = %self.target.name,
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -185,7 +185,7 @@
             draw::came("gateway", &from.to_string(), version, &progress);
         }
         self.meet(facts.gateways.clone()).await;
-        self.state.told_suspects(&facts.suspects);
+        self.state.merge_suspects(&facts.suspects);
         Ok(facts)
     }
 
@@ -234,7 +234,7 @@
         configuration: state.configuration_after(asked.configuration, held),
         directory: state.directory_after(Revision(asked.directory), asked.directory_hash),
         gateways: state.gateway_infos(relay.others()),
-        suspects: state.suspects().tell_all(state.clock().now()),
+        suspects: state.suspects().all_updates(state.clock().now()),
     };
     pack(&facts).into()
 }
--- a/src/cinderspoke/gateway/forward.rs
+++ b/src/cinderspoke/gateway/forward.rs
@@ -66,7 +66,7 @@
     context.record_demand(&parsed.service);
     let mut attempts = Attempts::default();
     let (why, retry_after) = loop {
-        if let Some(left) = context.holds_back(&parsed) {
+        if let Some(left) = context.quarantine_left(&parsed) {
             record.quarantined(parsed.fingerprint());
             break (Why::EndsEndpoints, left);
         }
@@ -82,7 +82,7 @@
         let (fate, failure) = match attempt(context, &parsed, &selected, &mut record).await {
             Attempt::Whole(response) => {
                 if response.status().is_success() {
-                    context.was_served(&parsed);
+                    context.record_served(&parsed);
                 }
                 record.answered(response.status());
                 return response.map(full);
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -44,11 +44,11 @@
     /// The last revision of the store at which they are known to be the newest.
     pub rollout_revision: Revision,
     /// When another gateway last told that revision.
-    pub rollout_told_at: Duration,
+    pub rollout_gossiped_at: Duration,
     /// For how long they have been named.
     pub timeline: Timeline,
     /// The versions that the store itself told of last; none before it first did.
-    pub stored: Option<Rollout>,
+    pub stored_rollout: Option<Rollout>,
     /// The list of endpoints.
     pub tracker: Tracker,
     /// The availability zones that are emptied.
@@ -65,7 +65,7 @@
     /// an endpoint of another service has.
     pub by_address: HashMap<(Service, SocketAddr), Arc<Target>>,
     /// When the last of them came to be known.
-    pub met_at: Duration,
+    pub discovered_at: Duration,
     /// Other gateways and when each was last heard of by itself, or else first named.
     pub gateways: BTreeMap<SocketAddr, Duration>,
 }
@@ -93,7 +93,7 @@
     }
 
     /// Keeps a target for each endpoint of the list.
-    pub fn follow_directory(&mut self, now: Duration) {
+    pub fn sync_targets(&mut self, now: Duration) {
         self.directory_hash = hash(self.tracker.directory());
         let Self { tracker, targets, by_address, notices, .. } = self;
         let entries = &tracker.directory().entries;
@@ -127,7 +127,7 @@
 
     /// What is known now, in a few words that tell whether another process knows more.
     #[must_use]
-    pub fn known(&self, now: Duration) -> Known {
+    pub fn summary(&self, now: Duration) -> Known {
         Known {
             configuration: self.version(),
             configuration_revision: self.configuration.revision,
--- a/src/cinderspoke/gateway/parse.rs
+++ b/src/cinderspoke/gateway/parse.rs
@@ -78,7 +78,7 @@
     let Some(catalog) = &view.catalog else {
         return Err(Refusal::not_run("no configuration is known yet", RETRY_AFTER));
     };
-    if !view.knows_emptied {
+    if !view.evacuations_known {
         return Err(Refusal::not_run("which zones are emptied is not known yet", RETRY_AFTER));
     }
     let Destination { route, service, team, priority, residency } = destination(catalog, &call)?;
--- a/src/cinderspoke/gateway/plan.rs
+++ b/src/cinderspoke/gateway/plan.rs
@@ -33,7 +33,7 @@
     /// it is asked for with each report.
     #[must_use]
     pub fn hash(&self, service: &Service) -> u64 {
-        let view = self.state.view().number;
+        let view = self.state.view().generation;
         let mut hashes = self.hashes.lock().unwrap_or_else(PoisonError::into_inner);
         match hashes.get(service) {
             Some(kept) if kept.view == view => kept.hash,
--- a/src/cinderspoke/gateway/quarantine.rs
+++ b/src/cinderspoke/gateway/quarantine.rs
@@ -112,7 +112,7 @@
 async fn learn(state: &State, store: &dyn Holds) -> Result<(), Error> {
     let held = store.held().await?;
     let (old, kept) = held.split_at(held.len().saturating_sub(MOST_KEPT));
-    state.found_held(kept);
+    state.apply_stored_quarantine(kept);
     for request in old {
         store.release(*request).await?;
     }
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -163,7 +163,7 @@
         self.meet(others).await;
         let own = self.state.summary();
         self.state.merge_versions(&known.ages, known.rollout_revision);
-        self.state.told_suspects(&known.suspects);
+        self.state.merge_suspects(&known.suspects);
         self.state.merge_drains(&known.leaving);
         self.state.merge_store_answers(&known.answers);
         if let Some(emptied) = known.emptied.clone() {
@@ -193,7 +193,7 @@
     /// Hints an agent at its service's plan if it does not know it.
     async fn on_agent(&self, from: SocketAddr, service: Service, plan: u64) {
         let wanted = self.planner.hash(&service);
-        if self.agents.reported(from, service, plan, wanted) {
+        if self.agents.record_report(from, service, plan, wanted) {
             self.hint(from, wanted).await;
         }
     }
@@ -238,7 +238,7 @@
 
     /// Hints every agent that does not know its service's plan.
     async fn hint_all(&self) {
-        for (agent, plan) in self.agents.behind(|service| self.planner.hash(service)) {
+        for (agent, plan) in self.agents.outdated(|service| self.planner.hash(service)) {
             self.hint(agent, plan).await;
         }
     }
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -305,7 +305,7 @@
             self.kept.raise();
         }
         if changed {
-            inner.follow_directory(self.clock.now());
+            inner.sync_targets(self.clock.now());
             self.rebuild_view(&mut inner);
             let (endpoints, revision) = (inner.targets.len(), inner.tracker.revision().0);
             drop(inner);
@@ -361,7 +361,7 @@
             *heard = now;
         }
         if !known {
-            inner.met_at = now;
+            inner.discovered_at = now;
         }
         if !known || (itself && !alive) {
             tracing::info!(%gateway, itself, "gateway heard of");
@@ -373,7 +373,7 @@
     /// When another gateway last came to be known; zero before any.
     #[must_use]
     pub fn discovered_at(&self) -> Duration {
-        self.lock().met_at
+        self.lock().discovered_at
     }
 
     /// Other gateways, alive or not.
@@ -386,8 +386,8 @@
     #[must_use]
     pub fn summary(&self) -> Known {
         let now = self.clock.now();
-        let (suspects, announcement) = (self.suspects.tell(now), self.announcement());
-        Known { suspects, announcement, ..self.lock().known(now) }
+        let (suspects, announcement) = (self.suspects.updates(now), self.announcement());
+        Known { suspects, announcement, ..self.lock().summary(now) }
     }
 
     /// The list of endpoints.
@@ -429,19 +429,19 @@
             let (target, entry) = (Arc::clone(target), entry.clone());
             let distance = self.distance(&entry.zone);
             let region = self.region_of(&entry.zone);
-            let is_emptied = inner.evacuation.is_evacuated(&entry.zone);
+            let is_evacuated = inner.evacuation.is_evacuated(&entry.zone);
             let members = members.entry(entry.service.clone()).or_default();
-            members.push(Member { target, entry, distance, region, is_emptied });
+            members.push(Member { target, entry, distance, region, is_evacuated });
         }
         let gateways = self.count_gateways(inner);
         self.view.store(Arc::new(View {
-            number: self.view.load().number + 1,
+            generation: self.view.load().generation + 1,
             catalog: inner.configuration.value.clone(),
             members: Arc::new(members),
             rollout: inner.rollout.clone(),
             gateways,
-            knows_emptied: !self.options().evacuates || inner.evacuation.known().is_some(),
-            others: inner.gateways.keys().map(|gateway| Key::of_address(*gateway)).collect(),
+            evacuations_known: !self.options().evacuates || inner.evacuation.known().is_some(),
+            other_keys: inner.gateways.keys().map(|gateway| Key::of_address(*gateway)).collect(),
         }));
     }
 
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -43,7 +43,7 @@
     }
 
     /// Acts on the table; nothing else does meanwhile.
-    fn act<T>(&self, act: impl FnOnce(&mut Table) -> T) -> T {
+    fn with_table<T>(&self, act: impl FnOnce(&mut Table) -> T) -> T {
         let mut table: MutexGuard<'_, Table> =
             self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let acted = act(&mut table);
@@ -60,45 +60,45 @@
     /// Whether endpoints ended before they answered a request.
     #[must_use]
     pub fn is_suspected(&self, fingerprint: Fingerprint) -> bool {
-        self.any() && self.act(|table| table.is_suspected(fingerprint))
+        self.any() && self.with_table(|table| table.is_suspected(fingerprint))
     }
 
     /// Takes in that an endpoint ended before it answered a request.
-    pub fn crashed(&self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> Change {
-        self.act(|table| table.record_crash(fingerprint, crash, now))
+    pub fn record_crash(&self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> Change {
+        self.with_table(|table| table.record_crash(fingerprint, crash, now))
     }
 
     /// Takes in that a request was answered.
-    pub fn answered(&self, fingerprint: Fingerprint, now: Duration) -> Change {
-        self.act(|table| table.record_answer(fingerprint, now))
+    pub fn record_answer(&self, fingerprint: Fingerprint, now: Duration) -> Change {
+        self.with_table(|table| table.record_answer(fingerprint, now))
     }
 
     /// Whether a request may be sent.
     pub fn admit(&self, fingerprint: Fingerprint, now: Duration) -> Admission {
-        self.act(|table| table.admit(fingerprint, self.key, rand::random(), now))
+        self.with_table(|table| table.admit(fingerprint, self.key, rand::random(), now))
     }
 
     /// Takes in what another gateway tells.
     pub fn merge(&self, told: &[Update], now: Duration) -> Merged {
-        self.act(|table| table.merge(told, now))
+        self.with_table(|table| table.merge(told, now))
     }
 
     /// All that a gateway that asks is to be told.
     #[must_use]
-    pub fn tell_all(&self, now: Duration) -> Vec<Update> {
-        if self.any() { self.act(|table| table.all_updates(now)) } else { Vec::new() }
+    pub fn all_updates(&self, now: Duration) -> Vec<Update> {
+        if self.any() { self.with_table(|table| table.all_updates(now)) } else { Vec::new() }
     }
 
     /// What other gateways are to be told.
     #[must_use]
-    pub fn tell(&self, now: Duration) -> Vec<Update> {
-        if self.any() { self.act(|table| table.updates(now)) } else { Vec::new() }
+    pub fn updates(&self, now: Duration) -> Vec<Update> {
+        if self.any() { self.with_table(|table| table.updates(now)) } else { Vec::new() }
     }
 }
 
 impl Context {
     /// For how long a request is held back, if it may not be sent now.
-    pub fn holds_back(&self, parsed: &Parsed) -> Option<Duration> {
+    pub fn quarantine_left(&self, parsed: &Parsed) -> Option<Duration> {
         if !self.state.suspects().any() {
             return None;
         }
@@ -107,17 +107,17 @@
 
     /// Takes in that an endpoint served a request: it does not end those that begin it. A
     /// failure would not show that, since some endpoints fail whatever they are asked.
-    pub fn was_served(&self, parsed: &Parsed) {
+    pub fn record_served(&self, parsed: &Parsed) {
         if self.state.suspects().any() {
-            self.state.was_served(parsed.fingerprint());
+            self.state.record_served(parsed.fingerprint());
         }
     }
 }
 
 impl State {
     /// Takes in that an endpoint ended before it answered a request.
-    pub(super) fn crashed(&self, fingerprint: Fingerprint, crash: &Crash) -> Change {
-        let news = self.suspects().crashed(fingerprint, crash, self.clock().now());
+    pub(super) fn record_crash(&self, fingerprint: Fingerprint, crash: &Crash) -> Change {
+        let news = self.suspects().record_crash(fingerprint, crash, self.clock().now());
         match news {
             Change::Quarantined => self.suspects().pending.set(fingerprint, true),
             // Others may know more, and be out of reach.
@@ -131,8 +131,8 @@
     }
 
     /// Takes in that a request was served.
-    fn was_served(&self, fingerprint: Fingerprint) {
-        let news = self.suspects().answered(fingerprint, self.clock().now());
+    fn record_served(&self, fingerprint: Fingerprint) {
+        let news = self.suspects().record_answer(fingerprint, self.clock().now());
         if news == Change::Released {
             self.suspects().pending.set(fingerprint, false);
         }
@@ -156,10 +156,10 @@
     }
 
     /// Takes in which requests the store says are held back.
-    pub fn found_held(&self, requests: &[Fingerprint]) {
+    pub fn apply_stored_quarantine(&self, requests: &[Fingerprint]) {
         let now = self.clock().now();
         let news = |request: &&Fingerprint| {
-            self.suspects().act(|table| table.restore_quarantine(**request, now))
+            self.suspects().with_table(|table| table.restore_quarantine(**request, now))
         };
         let found: Vec<_> = requests.iter().filter(news).collect();
         for fingerprint in &found {
@@ -171,7 +171,7 @@
     }
 
     /// Takes in what another gateway knows of suspected requests.
-    pub fn told_suspects(&self, told: &[Update]) {
+    pub fn merge_suspects(&self, told: &[Update]) {
         let merged = self.suspects().merge(told, self.clock().now());
         for fingerprint in &merged.quarantined {
             tracing::info!(%fingerprint, "a request is held back, as other gateways tell");
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -25,7 +25,7 @@
         self.change_versions("store", |inner| {
             inner.rollout_revision = inner.rollout_revision.max(fact.revision);
             inner.rollout.merge(rollout);
-            match &mut inner.stored {
+            match &mut inner.stored_rollout {
                 Some(stored) => {
                     let news = rollout.newer_than(stored);
                     stored.merge(rollout);
@@ -49,7 +49,7 @@
     /// When another gateway last told a newer such revision; zero if none did.
     #[must_use]
     pub fn rollout_gossiped_at(&self) -> Duration {
-        self.lock().rollout_told_at
+        self.lock().rollout_gossiped_at
     }
 
     /// Merges for how long versions have been named, as another gateway knows it by a
@@ -59,9 +59,9 @@
         let now = self.clock().now();
         let mut inner = self.lock();
         if revision > inner.rollout_revision {
-            (inner.rollout_revision, inner.rollout_told_at) = (revision, now);
+            (inner.rollout_revision, inner.rollout_gossiped_at) = (revision, now);
             let told = inner.rollout.clone();
-            inner.stored.get_or_insert(told);
+            inner.stored_rollout.get_or_insert(told);
         }
     }
 
--- a/src/cinderspoke/gateway/view.rs
+++ b/src/cinderspoke/gateway/view.rs
@@ -24,14 +24,14 @@
     /// The region of its availability zone; the empty name where that is unknown.
     pub region: Region,
     /// Whether its availability zone is emptied.
-    pub is_emptied: bool,
+    pub is_evacuated: bool,
 }
 
 /// All that is known at a moment.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// Tells views apart: each has a higher one than those before.
-    pub number: u64,
+    pub generation: u64,
     /// The configuration, once one is known.
     pub catalog: Option<Arc<Catalog>>,
     /// The endpoints of each service.
@@ -41,9 +41,9 @@
     /// How many gateways there are, this one among them.
     pub gateways: usize,
     /// Whether it is known which availability zones are emptied, where any may be.
-    pub knows_emptied: bool,
+    pub evacuations_known: bool,
     /// The keys of all other gateways, alive or not, by which shares are ranked.
-    pub others: Arc<[Key]>,
+    pub other_keys: Arc<[Key]>,
 }
 
 impl View {
