--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use super::draw;
-use super::message::{Facts, Known, pack};
+use super::message::{Facts, Summary, pack};
 use super::relay::Relay;
 use crate::util::http::{Call, Progress};
 
@@ -51,7 +51,7 @@
 /// A newer list of endpoints, and who has it.
 pub(super) struct Awaited {
     from: SocketAddr,
-    known: Known,
+    known: Summary,
     is_near: bool,
     // When it is asked for, by the gateway's clock.
     due: Duration,
@@ -102,7 +102,7 @@
 
     /// Asks a gateway for a newer list of endpoints, unless that comes by itself in time or
     /// is waited for already; one of the own region goes before one of another.
-    pub(super) fn fetch_list(self: &Arc<Self>, from: SocketAddr, known: &Known) {
+    pub(super) fn fetch_list(self: &Arc<Self>, from: SocketAddr, known: &Summary) {
         let is_near = self.state.is_neighbour(from);
         let due = self.state.clock().now() + self.list_patience(is_near);
         let mut awaited = self.awaited_list();
@@ -203,15 +203,15 @@
 }
 
 /// Whether one knows something that the other does not.
-pub(super) fn knows_more(one: &Known, other: &Known) -> bool {
+pub(super) fn knows_more(one: &Summary, other: &Summary) -> bool {
     one.configuration > other.configuration
         || (one.directory > other.directory && one.directory_hash != other.directory_hash)
         || knows_more_zones(one, other)
 }
 
 /// Whether one knows which zones are emptied where the other does not, or knows others.
-fn knows_more_zones(one: &Known, other: &Known) -> bool {
-    match (&one.emptied, &other.emptied) {
+fn knows_more_zones(one: &Summary, other: &Summary) -> bool {
+    match (&one.evacuated, &other.evacuated) {
         (Some(one), Some(other)) => one.revision > other.revision && one.value != other.value,
         (one, other) => one.is_some() && other.is_none(),
     }
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -18,7 +18,7 @@
 use cinderspoke_core::gateway::timeline::Timeline;
 use cinderspoke_core::rendezvous::Key;
 
-use super::message::Known;
+use super::message::Summary;
 use super::target::Target;
 
 /// How many configurations that were replaced are kept: whoever is further behind is told
@@ -127,18 +127,18 @@
 
     /// What is known now, in a few words that tell whether another process knows more.
     #[must_use]
-    pub fn summary(&self, now: Duration) -> Known {
-        Known {
+    pub fn summary(&self, now: Duration) -> Summary {
+        Summary {
             configuration: self.version(),
             configuration_revision: self.configuration.revision,
             ages: self.timeline.ages(now),
             rollout_revision: self.rollout_revision,
             directory: self.tracker.revision(),
             directory_hash: self.directory_hash,
-            emptied: self.evacuation.known().cloned(),
-            answers: self.outage.answers(now),
-            leaving: self.notices.updates(self.ready().map(|(target, _)| target.run), now),
-            ..Known::default()
+            evacuated: self.evacuation.known().cloned(),
+            store_answers: self.outage.answers(now),
+            draining: self.notices.updates(self.ready().map(|(target, _)| target.run), now),
+            ..Summary::default()
         }
     }
 }
--- a/src/cinderspoke/gateway/message.rs
+++ b/src/cinderspoke/gateway/message.rs
@@ -34,7 +34,7 @@
 
 /// What a process knows, in a few words.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Known {
+pub struct Summary {
     /// The version of the configuration in force.
     pub configuration: u64,
     /// The last revision of the store at which that one is known to be the newest.
@@ -50,19 +50,19 @@
     /// Tells lists of endpoints apart.
     pub directory_hash: u64,
     /// The availability zones that are emptied, where that is known.
-    pub emptied: Option<Fact<BTreeSet<Zone>>>,
+    pub evacuated: Option<Fact<BTreeSet<Zone>>>,
     /// How long ago the platform answered any gateway, as far as is known, the last
     /// answers first.
-    pub answers: Vec<Ago>,
+    pub store_answers: Vec<Ago>,
     /// Requests under which endpoints ended.
     pub suspects: Vec<Update>,
     /// Endpoints that leave, as they themselves said.
-    pub leaving: Vec<notice::Update>,
+    pub draining: Vec<notice::Update>,
 }
 
 /// A gateway as others name it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
+pub struct GatewayInfo {
     /// Where it is reached.
     pub address: SocketAddr,
     /// The tag of its region, where that is known.
@@ -77,9 +77,9 @@
         /// Where it can be asked for more.
         from: SocketAddr,
         /// What it knows.
-        known: Known,
+        summary: Summary,
         /// Other gateways that it knows of.
-        gateways: Vec<Named>,
+        gateways: Vec<GatewayInfo>,
     },
     /// An agent says what its engine is busy with.
     Report {
@@ -92,23 +92,23 @@
         /// What it is busy with.
         report: Report,
         /// The plan that the agent knows.
-        plan: u64,
+        plan_hash: u64,
         /// The agent's own time, which tells how long the report was on its way.
-        told: Duration,
+        sent_at: Duration,
         /// Whether the agent asks for an echo.
         echo: bool,
         /// The versions that were named, and for how long, where it asks: agents
         /// outlive gateways, which learn from them what no other gateway knows.
         ages: Ages,
         /// The number of the question that it answers, if it does.
-        answers: Option<u64>,
+        query: Option<u64>,
     },
     /// A gateway answers a report, so that the agent knows that it is reached.
     Echo {
         /// Who answers.
         from: SocketAddr,
         /// The time that the report told.
-        told: Duration,
+        report_sent_at: Duration,
     },
     /// A gateway wants an agent's reports for a while.
     Subscribe {
@@ -122,20 +122,20 @@
         /// Its requests there.
         outstanding: Outstanding,
         /// The gateway's own time, by which overtaken datagrams are known.
-        sent: Duration,
+        sent_at: Duration,
         /// All places that it asked for before this time of its own are decided on.
         decided_before: Duration,
     },
     /// A gateway asks for a place at an agent's engine; the agent answers with a report.
-    Ask {
+    Query {
         /// The gateway.
         from: SocketAddr,
         /// Tells what the gateway asks at a time from what it asks at another.
         number: u64,
         /// The gateway's own time.
-        asked: Duration,
+        sent_at: Duration,
         /// The prompt tokens of the request that it is for.
-        prompt: u32,
+        prompt_tokens: u32,
     },
     /// A gateway says that there is a plan that an agent may not know.
     Hint {
@@ -144,7 +144,7 @@
         /// The region of who tells it.
         region: Region,
         /// Tells plans apart.
-        plan: u64,
+        plan_hash: u64,
     },
 }
 
@@ -176,7 +176,7 @@
     /// The endpoints, if the list is newer than the asker's and another one.
     pub directory: Option<Fact<Directory>>,
     /// Other gateways.
-    pub gateways: Vec<Named>,
+    pub gateways: Vec<GatewayInfo>,
     /// Requests under which endpoints ended.
     pub suspects: Vec<Update>,
 }
--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -72,6 +72,6 @@
         (tracking.agent, tracking.load.outstanding(), decided_before)
     };
     let Some(agent) = agent else { return };
-    let told = Datagram::Outstanding { from: own, outstanding, sent, decided_before };
+    let told = Datagram::Outstanding { from: own, outstanding, sent_at: sent, decided_before };
     send(socket, agent, &pack(&told)).await;
 }
--- a/src/cinderspoke/gateway/query.rs
+++ b/src/cinderspoke/gateway/query.rs
@@ -86,7 +86,7 @@
             let beside = || SocketAddr::new(target.pool.address().ip(), own.port());
             let agent = agent.unwrap_or_else(beside);
             missing += 1;
-            let ask = Datagram::Ask { from: *own, number, asked, prompt };
+            let ask = Datagram::Query { from: *own, number, sent_at: asked, prompt_tokens: prompt };
             send(socket, agent, &pack(&ask)).await;
         }
         let all = async {
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -10,13 +10,13 @@
 use cinderspoke_core::gateway::name::Region;
 use cinderspoke_core::gateway::region::{Announcement, Role, Step, Table, Tag};
 
-use super::message::{Configuration, Known, Named};
+use super::message::{Configuration, GatewayInfo, Summary};
 use super::state::State;
 
 impl State {
     /// Takes in what another gateway says of itself and of its configuration; true when it
     /// was not heard of before.
-    pub fn observe_summary(&self, from: SocketAddr, known: &Known) -> bool {
+    pub fn observe_summary(&self, from: SocketAddr, known: &Summary) -> bool {
         let (now, version) = (self.clock().now(), known.configuration);
         let mut inner = self.lock();
         let is_new = inner.region.observe(from, &known.announcement, version, now);
@@ -92,7 +92,7 @@
 
     /// Adds a gateway that others name; true when it was not known and is to be greeted: it
     /// may be of this region, where those who read have to know of it.
-    pub fn discover_gateway(&self, gateway: Named) -> bool {
+    pub fn discover_gateway(&self, gateway: GatewayInfo) -> bool {
         let is_new = self.observe_gateway(gateway.address, false);
         let options = self.options();
         let regions = options.regions.values().map(|region| Region::from(region.as_str()));
@@ -106,10 +106,14 @@
 
     /// Some gateways as they are named to others.
     #[must_use]
-    pub fn gateway_infos(&self, gateways: impl IntoIterator<Item = SocketAddr>) -> Vec<Named> {
+    pub fn gateway_infos(
+        &self,
+        gateways: impl IntoIterator<Item = SocketAddr>,
+    ) -> Vec<GatewayInfo> {
         let inner = self.lock();
         let region = |gateway| inner.region.region_of(gateway).map(Tag::of);
-        let named = gateways.into_iter().map(|address| Named { address, region: region(address) });
+        let named =
+            gateways.into_iter().map(|address| GatewayInfo { address, region: region(address) });
         named.collect()
     }
 
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -29,7 +29,7 @@
 
 use super::agents::Agents;
 use super::facts::{self, Awaited, knows_more};
-use super::message::{Datagram, Known, Named, buffer, pack, receive, send};
+use super::message::{Datagram, GatewayInfo, Summary, buffer, pack, receive, send};
 use super::outstanding;
 use super::plan::Planner;
 use super::state;
@@ -116,7 +116,7 @@
         let mut buffer = buffer();
         loop {
             match receive(&self.socket, &mut buffer).await {
-                Datagram::Digest { from, known, gateways } => {
+                Datagram::Digest { from, summary: known, gateways } => {
                     self.on_digest(from, known, gateways).await;
                 }
                 Datagram::Report {
@@ -124,11 +124,11 @@
                     engine,
                     service,
                     report,
-                    plan,
-                    told,
+                    plan_hash: plan,
+                    sent_at: told,
                     echo,
                     ages,
-                    answers,
+                    query: answers,
                 } => {
                     let endpoint = (service.clone(), engine);
                     self.state.record_report(endpoint, from, report, told, answers.is_some());
@@ -138,7 +138,7 @@
                     }
                     self.state.merge_ages(&ages, "agent");
                     if echo {
-                        let echo = Datagram::Echo { from: self.own, told };
+                        let echo = Datagram::Echo { from: self.own, report_sent_at: told };
                         send(&self.socket, from, &pack(&echo)).await;
                     }
                     self.on_agent(from, service, plan).await;
@@ -148,13 +148,18 @@
                 | Datagram::Echo { .. }
                 | Datagram::Outstanding { .. }
                 | Datagram::Subscribe { .. }
-                | Datagram::Ask { .. } => {}
+                | Datagram::Query { .. } => {}
             }
         }
     }
 
     /// Learns from what another gateway knows, and tells it what it does not.
-    async fn on_digest(self: &Arc<Self>, from: SocketAddr, known: Known, others: Vec<Named>) {
+    async fn on_digest(
+        self: &Arc<Self>,
+        from: SocketAddr,
+        known: Summary,
+        others: Vec<GatewayInfo>,
+    ) {
         if from == self.own {
             return;
         }
@@ -164,9 +169,9 @@
         let own = self.state.summary();
         self.state.merge_versions(&known.ages, known.rollout_revision);
         self.state.merge_suspects(&known.suspects);
-        self.state.merge_drains(&known.leaving);
-        self.state.merge_store_answers(&known.answers);
-        if let Some(emptied) = known.emptied.clone() {
+        self.state.merge_drains(&known.draining);
+        self.state.merge_store_answers(&known.store_answers);
+        if let Some(emptied) = known.evacuated.clone() {
             self.state.apply_evacuations(emptied, "gateway");
         }
         let is_behind = knows_more(&own, &known);
@@ -182,7 +187,7 @@
 
     /// Adds gateways that another one names, and greets those that are new and may be of
     /// this region, so that each knows of the other.
-    pub(super) async fn meet(&self, gateways: Vec<Named>) {
+    pub(super) async fn meet(&self, gateways: Vec<GatewayInfo>) {
         for gateway in gateways.into_iter().filter(|gateway| gateway.address != self.own) {
             if self.state.discover_gateway(gateway) {
                 send(&self.socket, gateway.address, &self.digest()).await;
@@ -200,7 +205,7 @@
 
     /// Tells an agent that there is a plan that it does not know.
     async fn hint(&self, agent: SocketAddr, plan: u64) {
-        let hint = Datagram::Hint { from: self.own, region: self.region.clone(), plan };
+        let hint = Datagram::Hint { from: self.own, region: self.region.clone(), plan_hash: plan };
         send(&self.socket, agent, &pack(&hint)).await;
     }
 
@@ -332,7 +337,7 @@
         let count = others.len().min(NAMED_GATEWAYS);
         let sampled = rand::seq::index::sample(&mut rand::rng(), others.len(), count);
         let gateways = self.state.gateway_infos(sampled.into_iter().map(|number| others[number]));
-        pack(&Datagram::Digest { from: self.own, known: self.state.summary(), gateways })
+        pack(&Datagram::Digest { from: self.own, summary: self.state.summary(), gateways })
     }
 }
 
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -21,7 +21,7 @@
 use cinderspoke_schema::settings;
 
 use super::inner::Inner;
-use super::message::Known;
+use super::message::Summary;
 use super::options::Options;
 use super::outstanding;
 use super::query::Queries;
@@ -384,10 +384,10 @@
 
     /// What is known, in a few words that tell whether another process knows more.
     #[must_use]
-    pub fn summary(&self) -> Known {
+    pub fn summary(&self) -> Summary {
         let now = self.clock.now();
         let (suspects, announcement) = (self.suspects.updates(now), self.announcement());
-        Known { suspects, announcement, ..self.lock().summary(now) }
+        Summary { suspects, announcement, ..self.lock().summary(now) }
     }
 
     /// The list of endpoints.
--- a/src/cinderspoke/stager/report.rs
+++ b/src/cinderspoke/stager/report.rs
@@ -167,11 +167,11 @@
                 engine: self.address,
                 service: self.plans.service().clone(),
                 report: Report { others, ..load.clone() },
-                plan,
-                told: now,
+                plan_hash: plan,
+                sent_at: now,
                 echo,
                 ages: if echo { self.plans.ages() } else { Ages::default() },
-                answers: None,
+                query: None,
             })
         };
         let all = self.tally().total(now);
@@ -210,11 +210,11 @@
             engine: self.address,
             service: self.plans.service().clone(),
             report: Report { others, ..self.load(&report, now) },
-            plan: 0,
-            told: now,
+            plan_hash: 0,
+            sent_at: now,
             echo: false,
             ages: Ages::default(),
-            answers: Some(number),
+            query: Some(number),
         };
         send(&self.socket, gateway, &pack(&answer)).await;
     }
@@ -289,16 +289,18 @@
         let mut buffer = buffer();
         loop {
             match receive(&self.socket, &mut buffer).await {
-                Datagram::Echo { from, told } => self.on_echo(from, told),
+                Datagram::Echo { from, report_sent_at: told } => self.on_echo(from, told),
                 Datagram::Subscribe { from } => self.subscribers().renew(from, self.clock.now()),
-                Datagram::Outstanding { from, outstanding, sent, decided_before } => {
+                Datagram::Outstanding { from, outstanding, sent_at: sent, decided_before } => {
                     self.tally().apply(from, outstanding, sent, self.clock.now());
                     self.reservations().release_before(from, decided_before);
                 }
-                Datagram::Ask { from, number, asked, prompt } => {
+                Datagram::Query { from, number, sent_at: asked, prompt_tokens: prompt } => {
                     self.answer(from, number, asked, prompt).await;
                 }
-                Datagram::Hint { from, region, plan } if plan != self.plans.newest().hash() => {
+                Datagram::Hint { from, region, plan_hash: plan }
+                    if plan != self.plans.newest().hash() =>
+                {
                     let wait = if self.plans.is_near(&region) { Duration::ZERO } else { NEARBY };
                     tokio::spawn(Arc::clone(&self).read_hinted(from, plan, wait));
                 }
--- a/tests/testsuite/hints.rs
+++ b/tests/testsuite/hints.rs
@@ -109,7 +109,7 @@
 
 /// What a gateway of another region says of the plan.
 fn far_hint(from: SocketAddr) -> Datagram {
-    Datagram::Hint { from, region: "another".into(), plan: plan().hash() }
+    Datagram::Hint { from, region: "another".into(), plan_hash: plan().hash() }
 }
 
 // Symptom: requests reached an engine behind a narrow link 3 to 5 s after they
--- a/tests/testsuite/stagers.rs
+++ b/tests/testsuite/stagers.rs
@@ -122,7 +122,7 @@
 
 /// What a gateway of the agents' region says of a plan.
 pub(crate) fn hint(from: SocketAddr, plan: u64) -> Datagram {
-    Datagram::Hint { from, region: "r".into(), plan }
+    Datagram::Hint { from, region: "r".into(), plan_hash: plan }
 }
 
 /// A gateway that hints every agent at the same plan.
@@ -328,11 +328,11 @@
     let listening = tokio::spawn(Arc::clone(&reporter).listen());
     let asks = async |ear: &UdpSocket, number: u64| {
         let (from, asked) = (ear.local_addr().unwrap(), Duration::from_millis(number));
-        let ask = Datagram::Ask { from, number, asked, prompt: 700 };
+        let ask = Datagram::Query { from, number, sent_at: asked, prompt_tokens: 700 };
         ear.send_to(&pack(&ask), own).await.unwrap();
         loop {
             let told = timeout(LONG, receive(ear, &mut buffer())).await.unwrap();
-            if let Datagram::Report { report, answers, .. } = told
+            if let Datagram::Report { report, query: answers, .. } = told
                 && answers == Some(number)
             {
                 return report.others;
@@ -344,7 +344,7 @@
     assert_eq!((other.requests, other.unread), (1, 700), "the first one's place");
     let (from, sent) = (ears[1].local_addr().unwrap(), Duration::from_millis(9));
     let outstanding = Default::default();
-    let decided = Datagram::Outstanding { from, outstanding, sent, decided_before: sent };
+    let decided = Datagram::Outstanding { from, outstanding, sent_at: sent, decided_before: sent };
     ears[1].send_to(&pack(&decided), own).await.unwrap();
     // Its datagrams may overtake each other, and places lapse soon.
     let ends = async { while !asks(&ears[0], 3).await.is_empty() {} };
