--- a/crates/core/src/gateway/attempt.rs
+++ b/crates/core/src/gateway/attempt.rs
@@ -1,64 +1,64 @@
-//! What became of a request's sends, and what may follow.
+//! The outcomes of a request's sends, and whether it may be sent again.
 //!
-//! This is the one place that decides whether a caller may be told that its
-//! request has not run.
+//! Only this module decides whether a caller may be told that its request has not run:
+//! [`History`] records the [`Outcome`] of each send and derives the [`Guarantee`] from them.
 
-/// What became of one send.
+/// The outcome of a send that brought no success.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// No byte of it left this process.
+    /// No byte of the request left this process.
     NotSent,
-    /// The endpoint says that it has not run it and will not.
+    /// The endpoint answered that it has not run the request and will not.
     Refused,
-    /// It was sent, and no answer says what became of it.
+    /// The request was sent and no answer arrived, so it may have run.
     Lost,
-    /// The same, over a connection that had rested and may have been silent since: the
-    /// endpoint may never have got it.
+    /// Like [`Outcome::Lost`], over a connection that had been idle and may have been dead:
+    /// the endpoint may never have received the request.
     Stale,
-    /// The same, and its connection broke off: the endpoint may have ended.
+    /// Like [`Outcome::Lost`], and the connection broke off: the endpoint may have ended.
     BrokenOff,
-    /// The endpoint ran it and answered with a failure.
+    /// The endpoint ran the request and answered with a failure.
     Failed,
 }
 
-/// What a caller may be told.
+/// What a caller may be told about whether its request has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Guarantee {
-    /// It has not run and never will.
+    /// The request has not run and never will.
     NotRun,
-    /// Nothing is promised.
+    /// The request may have run.
     None,
 }
 
-/// What follows a send that brought no success.
+/// What to do after a send that brought no success.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Next {
-    /// It may be sent to another endpoint.
+    /// The request may be sent to another endpoint.
     Retry,
-    /// The caller is told the final answer.
+    /// The caller gets a final answer, with this guarantee.
     End(Guarantee),
 }
 
 /// The sends of one request so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-// Invariant: `runs` never falls, so what may have run never counts as not run.
+// Invariant: `runs` never falls, so a request that may have run never counts as not run.
 pub struct History {
     sends: u32,
     // Sends that may have run.
     runs: u32,
 }
 
-/// The most sends of one request, refused ones among them.
-const MOST_SENDS: u32 = 4;
+/// Limit of the sends of one request, including refused ones.
+const MAX_SENDS: u32 = 4;
 
 impl History {
-    /// How many endpoints it went to.
+    /// The number of sends that left this process.
     #[must_use]
     pub fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Takes in what became of a send.
+    /// Records the outcome of a send.
     pub fn record(&mut self, outcome: Outcome) {
         if outcome != Outcome::NotSent {
             self.sends += 1;
@@ -69,18 +69,25 @@
         }
     }
 
-    /// What a caller may be told if nothing more is sent.
+    /// What the caller may be told if the request is not sent again.
     #[must_use]
     pub fn guarantee(&self) -> Guarantee {
         if self.runs > 0 { Guarantee::None } else { Guarantee::NotRun }
     }
 
-    /// What may follow, where a request may run on so many endpoints at most;
-    /// `affordable` says whether time and budget allow another send.
+    /// Decides whether the request may be sent again.
+    ///
+    /// A request that is not `repeatable` is not sent again once it may have run. Any request
+    /// may run on at most `max_runs` endpoints, and on one in any case. `affordable` says
+    /// whether time and budget allow another send.
     #[must_use]
-    pub fn next(&self, repeatable: bool, most: u32, affordable: bool) -> Next {
+    pub fn next(&self, repeatable: bool, max_runs: u32, affordable: bool) -> Next {
         let allowed = repeatable || self.runs == 0;
-        let few = self.runs < most.max(1) && self.sends < MOST_SENDS;
-        if allowed && affordable && few { Next::Retry } else { Next::End(self.guarantee()) }
+        let within_limits = self.runs < max_runs.max(1) && self.sends < MAX_SENDS;
+        if allowed && affordable && within_limits {
+            Next::Retry
+        } else {
+            Next::End(self.guarantee())
+        }
     }
 }
--- a/crates/core/src/gateway/call.rs
+++ b/crates/core/src/gateway/call.rs
@@ -1,45 +1,47 @@
-//! A request of a caller, read once from whatever form it came in.
+//! A caller's request, parsed once and independent of the protocol that carried it.
 
 use std::time::Duration;
 
 use super::name::{Model, Request};
 
-/// What a gateway has to know of a request; everything else is passed on as it is.
+/// The parts of a request that a gateway uses; everything else is forwarded unchanged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// The caller's attempt.
+    /// The id of the caller's attempt.
     pub id: Request,
-    /// The host that it is meant for, in lower case, without a port.
+    /// The target host, in lower case, without a port.
     pub host: String,
     /// The path, without the query.
     pub path: String,
-    /// What the caller proves its team with.
+    /// The API key that identifies the caller's team.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The time for which the caller waits for the answer.
     pub deadline: Option<Duration>,
-    /// The model, where it is for one.
+    /// The requested model, if any.
     pub model: Option<Model>,
-    /// Its size in tokens, where it is for a model.
+    /// The size in tokens; zero for a request without a model.
     pub size: Size,
-    /// The first parts of the prompt, shared with other requests: key and tokens.
+    /// The leading parts of the prompt that other requests may share, each as a key and its
+    /// number of tokens.
     pub prefix: Vec<(u64, u32)>,
-    /// The last event of a stream that the caller has already.
+    /// The id of the last stream event that the caller has received.
     pub last_event: Option<u64>,
 }
 
 /// The size of a generation, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub max_answer: u32,
-    /// Tokens of the answer as the caller guesses; often far off.
+    /// The caller's estimate of the number of tokens in the answer; often far off.
     pub answer_hint: Option<u32>,
 }
 
 impl Size {
-    /// The tokens that the answer is expected to have.
+    /// The expected number of tokens in the answer: the hint, or else half of the
+    /// maximum, and at most the maximum.
     #[must_use]
     pub fn expected(&self) -> u32 {
         self.answer_hint.unwrap_or(self.max_answer / 2).min(self.max_answer.max(1))
--- a/crates/core/src/gateway/catalog.rs
+++ b/crates/core/src/gateway/catalog.rs
@@ -1,4 +1,7 @@
-//! The configuration in force, indexed for requests.
+//! The configuration in force, indexed for looking up requests.
+//!
+//! [`Declared`] is the configuration as operators declare it and processes exchange it.
+//! [`Catalog`] adds indexes by host and by API key.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -10,16 +13,16 @@
 use super::name::{Model, Region, Service, Team};
 use super::residency::{AllowedRegions, Residency};
 
-/// Whether a request may run more than once, and what its answer is.
+/// Whether a route's requests may run more than once, and the form of their answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// It may run again; the answer is one body.
+    /// A request may run again; the answer is one body.
     Safe,
-    /// It may run once; the answer is one body.
+    /// A request may run only once; the answer is one body.
     Unsafe,
-    /// The answer is a series of events.
+    /// The answer is a stream of events.
     Stream {
-        /// Whether another endpoint may go on after any event.
+        /// Whether another endpoint may continue the stream after any event.
         resumable: bool,
     },
 }
@@ -31,7 +34,7 @@
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the answer is a stream of events.
     #[must_use]
     pub fn streams(self) -> bool {
         matches!(self, Self::Stream { .. })
@@ -43,41 +46,42 @@
 pub struct Share {
     /// The service.
     pub service: Service,
-    /// Its part; relative to those of the route's other services.
+    /// Its weight, relative to those of the route's other services.
     pub weight: u32,
 }
 
-/// Where requests of a host and path go.
+/// The requests to a host and path prefix, and how they are served.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The operator's name for the route.
     pub name: String,
     /// The host, in lower case.
     pub host: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What its requests are.
+    /// The kind of its requests.
     pub kind: Kind,
-    /// The longest that a request may be held.
+    /// Maximum time for which a gateway holds a request.
     pub timeout: Duration,
-    /// The time to the first byte, or event, within which an answer has its full worth.
+    /// The time to the first byte, or first event, within which an answer has its full value.
     pub target: Duration,
-    /// The longest pause between events that keeps the full worth.
+    /// The longest pause between events with which a stream keeps its full value, if limited.
     pub target_gap: Option<Duration>,
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
-    /// The services that share it; never empty.
+    /// The services that share its requests; never empty.
     pub shares: Vec<Share>,
-    /// The most endpoints that one request may go to.
+    /// Maximum number of endpoints on which one request may run.
     pub attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
-    /// The service for a request, by a number that spreads requests evenly.
+    /// The service for a request, selected by weight with `spread`, a number that is evenly
+    /// distributed over requests.
     #[must_use]
     pub fn service(&self, spread: u64) -> Option<&Service> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
@@ -94,99 +98,99 @@
     }
 }
 
-/// How a model engine spends its time, as the operator declares it.
+/// The performance of a model engine and the models it runs, as the operator declares them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens that fit into its memory.
+    /// Number of tokens that fit into its KV cache.
     pub capacity: u64,
-    /// Milliseconds of a token step.
+    /// Base duration of a decode step in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each writing request adds to a step.
+    /// Milliseconds that each decoding request adds to a step.
     pub per_request_ms: f64,
     /// Milliseconds that each 1,000 tokens of context add to a step.
     pub per_context_ms: f64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second (prefill).
     pub read_per_s: f64,
-    /// Milliseconds for a million pairs of a token and one before it.
+    /// Milliseconds of attention per million pairs of a prompt token and an earlier one.
     pub per_pairs_ms: f64,
-    /// The most prompt tokens read in a step.
+    /// Maximum number of prompt tokens processed in a step (chunked prefill).
     pub chunk: u32,
-    /// Steps in a pass that has writers.
+    /// Number of steps in a pass with decoding requests.
     pub stride: u32,
-    /// Tokens of a usual prompt.
+    /// Number of tokens in a typical prompt.
     pub usual_prompt: u32,
-    /// Tokens of a usual answer.
+    /// Number of tokens in a typical answer.
     pub usual_answer: u32,
     /// The models that it runs.
     pub models: Vec<Model>,
-    /// Layers of a model.
+    /// Number of layers in a model.
     pub layers: u32,
-    /// Chunks of a version's weights.
+    /// Number of chunks in a version's weights.
     pub chunks: u32,
-    /// Bytes of a chunk.
+    /// Size of a chunk in bytes.
     pub chunk_bytes: u32,
-    /// The time in which it takes staged weights into its layers.
+    /// The time to load staged weights into its layers.
     pub load: Duration,
 }
 
-/// Where weights come from at first.
+/// The origin server of weights.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Origin {
     /// Its address.
     pub address: SocketAddr,
-    /// Bytes a second that its link carries; zero if that is not known.
+    /// Bandwidth of its link in bytes per second; zero if unknown.
     pub rate: f64,
 }
 
-/// What stands behind routes.
+/// A service that routes lead to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
     /// Its name.
     pub service: Service,
-    /// The most connections that each of its endpoints takes.
+    /// Maximum number of connections to each of its endpoints.
     pub connections: u32,
-    /// Where it gives weights, if it is an origin of them.
+    /// The origin that it runs, if it serves weights.
     pub origin: Option<Origin>,
-    /// How its endpoints spend their time, if they are model engines.
+    /// The performance of its endpoints, if they are model engines.
     pub engine: Option<Engine>,
-    /// What its endpoints bear after their start, where that is less than later.
+    /// The throughput of its endpoints during warm-up, if it is lower than later.
     pub cold: Option<Cold>,
 }
 
-/// What an endpoint bears for a time after its start.
+/// The throughput of an endpoint during its warm-up.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Cold {
-    /// How long that lasts.
+    /// Duration of the warm-up.
     pub duration: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
 }
 
-/// A team and the keys that stand for it.
+/// A team and its API keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenancy {
     /// The team.
     pub team: Team,
     /// Its keys.
     pub keys: Vec<String>,
-    /// Its rank, which goes before a route's.
+    /// Its priority, which overrides a route's.
     pub priority: Option<u8>,
-    /// Where its requests may be served.
+    /// The regions in which its requests may be served.
     pub allowed_regions: AllowedRegions,
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: u32,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: u64,
-    /// The time in which a request's head has to come.
+    /// Maximum time until a request's head is complete.
     pub header: Duration,
-    /// How long a connection may rest.
+    /// Maximum idle time of a connection.
     pub idle: Duration,
 }
 
@@ -202,36 +206,36 @@
     }
 }
 
-/// All that operators declare, as it is passed between processes.
+/// A whole configuration, as operators declare it and processes exchange it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Declared {
-    /// The operator's number for it, which only grows.
+    /// The operator's version number, which only grows.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub backends: Vec<Backend>,
-    /// The teams; none when requests need no key.
+    /// The teams; empty if requests need no API key.
     pub tenancies: Vec<Tenancy>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
 }
 
-/// What a key stands for.
+/// The result of checking a request's API key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Access<'a> {
-    /// Requests need no key.
+    /// The route needs no key.
     Open,
-    /// The team.
+    /// The key's team, with its priority if it has one.
     Team(&'a Team, Option<u8>),
-    /// No team has the key, or there was none.
+    /// The request has no key, or one that no team has.
     Denied,
 }
 
 /// A configuration with its indexes.
 #[derive(Debug, Default)]
-// Invariants: `by_host` holds every route's number, those of a host with the
-// longest prefix first; `by_key` holds every key.
+// Invariants: `by_host` holds the index of every route, sorted by descending prefix length
+// for each host; `by_key` maps every key to the index of its tenancy.
 pub struct Catalog {
     declared: Declared,
     hash: Hash,
@@ -258,26 +262,26 @@
 }
 
 impl Catalog {
-    /// What was declared.
+    /// The configuration without the indexes.
     #[must_use]
     pub fn declared(&self) -> &Declared {
         &self.declared
     }
 
-    /// Tells it apart from others.
+    /// The hash of the configuration.
     #[must_use]
     pub fn hash(&self) -> Hash {
         self.hash
     }
 
-    /// The route of a host and path: the one with the longest prefix that fits.
+    /// The route of a host and path: the one with the longest matching prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(host)?.iter().map(|number| &self.declared.routes[*number]);
         routes.into_iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// What a request's key stands for on a route.
+    /// Checks a request's API key on a route.
     #[must_use]
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
         if route.public || self.declared.tenancies.is_empty() {
@@ -292,7 +296,7 @@
         }
     }
 
-    /// Where a request with a key on a route may be served.
+    /// The limits on the regions that may serve a request with this API key on this route.
     #[must_use]
     pub fn residency(&self, route: &Route, key: Option<&str>) -> Residency {
         let number = key.filter(|_| !route.public).and_then(|key| self.by_key.get(key));
@@ -300,7 +304,7 @@
         [route.allowed_regions.clone()].into_iter().chain(team).collect()
     }
 
-    /// The regions that routes and teams name and that are not among these.
+    /// The regions that routes and teams name and for which `is_known` is false.
     #[must_use]
     pub fn unknown_regions(&self, is_known: impl Fn(&Region) -> bool) -> BTreeSet<Region> {
         let routes = self.declared.routes.iter().map(|route| &route.allowed_regions);
@@ -313,13 +317,13 @@
             .collect()
     }
 
-    /// A service by its name.
+    /// The service with a name.
     #[must_use]
     pub fn backend(&self, service: &Service) -> Option<&Backend> {
         self.declared.backends.iter().find(|backend| backend.service == *service)
     }
 
-    /// The services that give weights.
+    /// The origins of all services that serve weights.
     pub fn origins(&self) -> impl Iterator<Item = Origin> {
         self.declared.backends.iter().filter_map(|backend| backend.origin)
     }
--- a/crates/core/src/gateway/changeover.rs
+++ b/crates/core/src/gateway/changeover.rs
@@ -1,31 +1,31 @@
-//! When an engine goes over to a new version, so that not all do at once.
+//! The schedule by which engines switch to a new version, so that they do not all switch at
+//! once.
 //!
-//! Engines go over in two waves. The first closes while its weights still come
-//! in, so that little runs when they are there; the second follows once the
-//! first is back. What still runs then is broken off, and streams go on at
-//! another engine: waiting for the longest of them would leave half of the
-//! engines idle for seconds. Nothing new begins on the old version any more
-//! once the second wave has closed, which leaves time for an engine that stands
-//! still in between.
+//! Engines switch in two waves. An engine of the first wave closes (accepts no new requests)
+//! while its weights still arrive, so that few requests run when the weights are complete. The
+//! second wave closes once the first should serve again. Requests that still run at the switch
+//! are aborted, and their streams resume at another engine: waiting for the longest of them
+//! would leave half of the engines idle for seconds. Once the second wave has closed, no new
+//! request begins on the old version, which leaves time for an engine that stalls in between.
 
 use std::time::Duration;
 
 use crate::rendezvous::{Key, weight};
 
-/// The number of waves.
 const WAVES: usize = 2;
 
-/// What staging, breaking off and loading take: the first wave is back then.
-const BACK: Duration = Duration::from_millis(400);
+/// Time that staging, aborting requests and loading take, after which the first wave serves
+/// again.
+const SWITCH_TIME: Duration = Duration::from_millis(400);
 
-/// How long requests have to end by themselves once an engine is closed.
-const DRAIN: Duration = Duration::from_millis(900);
+/// Time that running requests have to finish once an engine of the second wave has closed.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Minimum fraction of a version's chunks an engine must hold before it may close early.
-const CLOSING: f64 = 0.75;
+const MIN_HELD_FRACTION: f64 = 0.75;
 
 /// Time in which most running requests finish after an engine of the first wave closes.
-const EXPECTED_DRAIN: Duration = Duration::from_millis(650);
+const EXPECTED_DRAIN_TIME: Duration = Duration::from_millis(650);
 
 /// Whether an engine of the first wave should close before it holds all of a version's chunks.
 ///
@@ -34,49 +34,51 @@
 #[must_use]
 pub fn should_close_early(held: usize, total: usize, spacing: Duration) -> bool {
     let remaining = u32::try_from(total.saturating_sub(held)).unwrap_or(u32::MAX);
-    held as f64 >= total as f64 * CLOSING && spacing.saturating_mul(remaining) <= EXPECTED_DRAIN
+    held as f64 >= total as f64 * MIN_HELD_FRACTION
+        && spacing.saturating_mul(remaining) <= EXPECTED_DRAIN_TIME
 }
 
-/// When an engine goes over.
+/// When an engine closes and aborts its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Changeover {
-    /// It closes while its weights still come in, and what runs is broken off
-    /// once they are there.
+    /// The engine closes while its weights still arrive, and aborts what runs once it holds
+    /// them all.
     First,
-    /// It waits until the first wave should be back.
+    /// The engine stays open until the first wave should serve again, then drains.
     Second,
 }
 
 impl Changeover {
-    /// The changeover of a wave.
+    /// The schedule of the engines of a wave.
     #[must_use]
     pub fn of_wave(wave: usize) -> Self {
         if wave == 0 { Self::First } else { Self::Second }
     }
 
-    /// When it takes nothing new any more, after its weights are there.
+    /// Time after the engine holds all weights until it accepts no new requests.
     #[must_use]
     pub fn close_after(self) -> Duration {
         match self {
             Self::First => Duration::ZERO,
-            Self::Second => BACK,
+            Self::Second => SWITCH_TIME,
         }
     }
 
-    /// When what still runs is broken off, after its weights are there.
+    /// Time after the engine holds all weights until it aborts the requests that still run.
     #[must_use]
     pub fn abort_after(self) -> Duration {
         match self {
             Self::First => Duration::ZERO,
-            Self::Second => BACK + DRAIN,
+            Self::Second => SWITCH_TIME + DRAIN_TIMEOUT,
         }
     }
 }
 
-/// The wave of an engine among all of its service, given as zone and name.
+/// The wave, counted from 0, of the engine `own` among all engines of its service, each given
+/// as zone and name.
 ///
-/// Waves are dealt out within each zone, and differently from zone to zone, so
-/// that neither a zone nor the service is without engines.
+/// Waves alternate within each zone by rank, with a different start in each zone, so that
+/// neither a zone nor the whole service is ever without engines.
 #[must_use]
 pub fn wave(version: &str, own: (&str, &str), engines: &[(&str, &str)]) -> usize {
     let subject = Key::of(version);
--- a/crates/core/src/gateway/cold.rs
+++ b/crates/core/src/gateway/cold.rs
@@ -1,40 +1,41 @@
-//! Endpoints that bear only a few requests a second for a time after their start.
+//! A rate limit for cold endpoints, which handle only a few requests a second for a time after
+//! their start.
 //!
-//! The bound holds for the requests of all gateways together, in any second. Each gateway has a
-//! share of it that needs no word from the others: gateways rank each other for each endpoint by
-//! a hash, the whole part of the quotient goes to each of them, and the rest to the first ones.
-//! Where a gateway knows of more others than live, the shares are too small, which breaks
-//! nothing.
+//! The limit holds for the requests of all gateways together, in any second. Each gateway
+//! computes its share without communication: for each endpoint, gateways are ranked by a hash;
+//! each gets the integer quotient of the limit and their number, and the first in rank get one
+//! more until the remainder is used up. If a gateway counts others that no longer live, the
+//! shares are too small, which does no harm.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::rendezvous::{Key, weight};
 
-/// The part of the bound that is shared out: what was sent within a second may arrive within
-/// less than one.
-const PART: f64 = 0.8;
+/// Fraction of the limit that is shared out. Requests sent within one second may arrive within
+/// less than a second, so the full limit would be exceeded at the endpoint.
+const SHARED_FRACTION: f64 = 0.8;
 
-/// The time in which the requests to an endpoint are counted: a little over the second of the
-/// bound, since requests are on their way for different times.
+/// Window over which the requests to an endpoint are counted: slightly longer than the one
+/// second of the limit, since transit times differ between requests.
 const WINDOW: Duration = Duration::from_millis(1100);
 
-/// The most requests that gateways together may send to one cold endpoint within a second.
+/// The limit of requests that all gateways together may send to one cold endpoint within a
+/// second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound(pub f64);
 
-/// What operators allow to a cold endpoint beside what its service declares.
+/// What operators allow for a cold endpoint beyond the rate that its service declares.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// How many times the declared rate.
+    /// Factor on the declared rate.
     pub overage: f64,
-    /// Requests beyond that.
+    /// Requests per second added to the product.
     pub slack: f64,
 }
 
 impl Options {
-    /// The bound of a service whose cold endpoints are declared to bear so many requests a
-    /// second.
+    /// The limit for a service that declares `per_s` requests a second for its cold endpoints.
     #[must_use]
     pub fn bound(self, per_s: f64) -> Bound {
         Bound(per_s * self.overage + self.slack)
@@ -42,30 +43,30 @@
 }
 
 impl Bound {
-    /// How many requests a gateway may send to an endpoint within [`WINDOW`], where it and the
-    /// others are known by their keys.
+    /// The number of requests that the gateway `own` may send to an endpoint within [`WINDOW`],
+    /// where `others` are all other gateways.
     #[must_use]
     pub fn share(self, endpoint: Key, own: Key, others: &[Key]) -> usize {
-        let (all, count) = ((self.0 * PART).max(0.0) as usize, others.len() + 1);
+        let (all, count) = ((self.0 * SHARED_FRACTION).max(0.0) as usize, others.len() + 1);
         let rank = |gateway: Key| (weight(endpoint, gateway), gateway);
         let before = || others.iter().filter(|other| rank(**other) > rank(own)).count();
         all / count + usize::from(!all.is_multiple_of(count) && before() < all % count)
     }
 }
 
-/// The requests that a gateway has lately sent to an endpoint.
-// Invariant: in the order of time.
+/// The recent requests from this gateway to one endpoint, by the time at which they were sent.
+// Invariant: sorted by time, oldest first.
 #[derive(Debug, Default)]
 pub struct Sends(VecDeque<Duration>);
 
 impl Sends {
-    /// Adds a request that is sent now.
+    /// Records a request sent now.
     pub fn add(&mut self, now: Duration) {
         self.forget(now);
         self.0.push_back(now);
     }
 
-    /// How many were sent within the window that ends now.
+    /// The number of requests sent within the window that ends now.
     #[must_use]
     pub fn count(&self, now: Duration) -> usize {
         self.0.iter().filter(|sent| **sent + WINDOW > now).count()
--- a/crates/core/src/gateway/demand.rs
+++ b/crates/core/src/gateway/demand.rs
@@ -1,34 +1,34 @@
-//! How many requests come to a gateway in a second.
+//! The rate at which requests arrive at a gateway.
 
 use std::time::Duration;
 
-/// Over how long arrivals are averaged: short enough to follow a burst that lasts
-/// seconds, long enough for a gateway that gets a few requests a second.
-const MEMORY: Duration = Duration::from_secs(2);
+/// Time constant of the exponential average: short enough to follow a burst that lasts
+/// seconds, long enough for a gateway that receives a few requests a second.
+const TIME_CONSTANT: Duration = Duration::from_secs(2);
 
-/// A rate of arrivals, in which older ones count for less.
+/// An estimate of the arrival rate, as an exponentially decaying average.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
-    // Arrivals, each as much as is left of it.
+    // The decayed number of arrivals at the time of the last one.
     weight: f64,
-    at: Duration,
+    last_arrival: Duration,
 }
 
 impl Demand {
-    /// Takes in an arrival.
+    /// Records an arrival.
     pub fn record_arrival(&mut self, now: Duration) {
-        self.weight = self.left(now) + 1.0;
-        self.at = now;
+        self.weight = self.decayed(now) + 1.0;
+        self.last_arrival = now;
     }
 
-    /// Arrivals a second.
+    /// The estimated number of arrivals per second.
     #[must_use]
     pub fn per_second(&self, now: Duration) -> f64 {
-        self.left(now) / MEMORY.as_secs_f64()
+        self.decayed(now) / TIME_CONSTANT.as_secs_f64()
     }
 
-    fn left(&self, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.weight * (-passed / MEMORY.as_secs_f64()).exp()
+    fn decayed(&self, now: Duration) -> f64 {
+        let passed = now.saturating_sub(self.last_arrival).as_secs_f64();
+        self.weight * (-passed / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- a/crates/core/src/gateway/difference.rs
+++ b/crates/core/src/gateway/difference.rs
@@ -1,7 +1,8 @@
-//! What differs between two configurations.
+//! A compact encoding of the change between two configurations.
 //!
-//! A change of a few routes among thousands is told between gateways in some hundred bytes,
-//! so that changes that come quickly find room on a link that all traffic shares.
+//! Gateways send each other differences instead of whole configurations: a change of a few
+//! routes among thousands takes some hundred bytes, so that frequent changes fit on a link
+//! that all traffic shares.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -11,7 +12,7 @@
 
 use super::catalog::{Backend, Catalog, Declared, Limits, Route, Tenancy};
 
-/// Tells the contents of configurations apart.
+/// A hash of a configuration's contents.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hash(pub u64);
 
@@ -26,20 +27,20 @@
     }
 }
 
-/// A part of a new list.
+/// A run of items in a new list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 enum Part<T> {
-    /// Items of the list before, by their places there.
-    Kept(Range<u32>),
-    /// Items that it did not have, or had elsewhere.
+    /// Items copied from the base list, as a range of indexes there.
+    Copied(Range<u32>),
+    /// Items that the base list lacks.
     New(Vec<T>),
 }
 
-/// A new list, told by the one before.
+/// A new list, encoded relative to a base list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct List<T>(Vec<Part<T>>);
 
-/// A configuration, told by the one before.
+/// A configuration, encoded relative to a base configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
     base: Hash,
@@ -54,18 +55,18 @@
 /// Why a difference cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum ApplyError {
-    /// it is told by another configuration
+    /// the difference is based on another configuration
     BaseMismatch,
-    /// it keeps what the configuration does not have
+    /// the difference refers to items that its base configuration does not have
     MissingItems,
-    /// what comes of it is another configuration
+    /// the difference leads to a configuration with another hash than it states
     ResultMismatch,
 }
 
 impl std::error::Error for ApplyError {}
 
 impl Difference {
-    /// What leads from one configuration to another.
+    /// The difference that leads from `before` to `after`.
     #[must_use]
     pub fn between(before: &Catalog, after: &Catalog) -> Self {
         let (base, hash) = (before.hash(), after.hash());
@@ -81,17 +82,17 @@
         }
     }
 
-    /// The version that it leads to.
+    /// The version of the resulting configuration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The configuration to which it leads from one.
+    /// Applies the difference to its base configuration.
     ///
     /// # Errors
     ///
-    /// When it does not lead from that one, or is damaged.
+    /// When `before` is not the base configuration, or the difference is damaged.
     pub fn apply(&self, before: &Catalog) -> Result<Catalog, ApplyError> {
         if before.hash() != self.base {
             return Err(ApplyError::BaseMismatch);
@@ -110,14 +111,14 @@
 
 impl<T: Clone + PartialEq + Serialize> List<T> {
     fn between(before: &[T], after: &[T]) -> Self {
-        let places: HashMap<Vec<u8>, usize> =
-            before.iter().enumerate().map(|(place, item)| (pack(item), place)).collect();
+        let positions: HashMap<Vec<u8>, usize> =
+            before.iter().enumerate().map(|(position, item)| (pack(item), position)).collect();
         let (mut parts, mut next) = (Vec::new(), 0);
         while let Some(item) = after.get(next) {
-            match places.get(&pack(item)) {
-                Some(&place) => {
-                    let length = alike(&before[place..], &after[next..]);
-                    parts.push(Part::Kept(place as u32..(place + length) as u32));
+            match positions.get(&pack(item)) {
+                Some(&position) => {
+                    let length = common_prefix(&before[position..], &after[next..]);
+                    parts.push(Part::Copied(position as u32..(position + length) as u32));
                     next += length;
                 }
                 None => {
@@ -136,7 +137,7 @@
         let mut after = Vec::new();
         for part in &self.0 {
             let items = match part {
-                Part::Kept(places) => before.get(places.start as usize..places.end as usize),
+                Part::Copied(range) => before.get(range.start as usize..range.end as usize),
                 Part::New(items) => Some(items.as_slice()),
             };
             after.extend_from_slice(items.ok_or(ApplyError::MissingItems)?);
@@ -145,13 +146,13 @@
     }
 }
 
-/// How many items two lists begin alike with.
-fn alike<T: PartialEq>(one: &[T], other: &[T]) -> usize {
+/// The length of the common prefix of two lists.
+fn common_prefix<T: PartialEq>(one: &[T], other: &[T]) -> usize {
     one.iter().zip(other).take_while(|(one, other)| one == other).count()
 }
 
-/// Packs an item. Only a map or sequence of unknown length fails, and there is none; an
-/// item that did would be told anew, and its configuration whole.
+/// Packs an item. Packing fails only for maps and sequences of unknown length, and there are
+/// none; an item that failed would be sent anew, and its configuration as a whole.
 fn pack<T: Serialize>(item: &T) -> Vec<u8> {
     postcard::to_stdvec(item).unwrap_or_default()
 }
--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -1,8 +1,9 @@
 //! The endpoints that the platform lists.
 //!
-//! The list says who is there and who leaves. While the platform is away,
-//! entries lapse although their endpoints live; those that are back soon after
-//! its return are kept until then.
+//! A [`Directory`] holds one [`Entry`] per endpoint, with its state: ready or draining. While
+//! the platform is unreachable, entries expire although their endpoints live. Therefore the
+//! [`Tracker`] retains entries that are removed shortly after an outage until their endpoints
+//! have had time to renew them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,36 +15,37 @@
 use super::name::{Endpoint, Model, Service, Zone};
 use super::rollout::Version;
 
-/// How long after the platform's return an entry that lapsed may still be retained.
+/// How long after the end of an outage an expired entry is retained.
 ///
-/// Endpoints renew their entries about every second; a lapsed one is back
-/// within two seconds, and the rest is for the way here.
+/// Endpoints renew their entries about every second, so an expired entry is back within two
+/// seconds; the rest is transit time.
 pub const RETENTION: Duration = Duration::from_millis(2200);
 
-/// The same from when the platform was last known to be away: its return is noticed up to
-/// 1.2 s late, and an endpoint that left may get nothing later than 3 s after it.
+/// Upper limit of [`RETENTION`], counted from the last time at which the platform was known to
+/// be unreachable: the end of an outage is detected up to 1.2 s late, and an endpoint that has
+/// ended may receive no request later than 3 s after that end.
 pub const MAX_RETENTION: Duration = Duration::from_millis(2850);
 
-/// How long after the platform's return the first news still tell of what happened
-/// while it was away.
-const FIRST_NEWS: Duration = Duration::from_millis(300);
+/// How long after the end of an outage a removal may still stem from the outage itself.
+const FIRST_UPDATES: Duration = Duration::from_millis(300);
 
-/// How long an entry may be retained that goes later than that: endpoints renew theirs
-/// about every 1.2 s, so one that lapsed and lives is back by then. One that left may
-/// get nothing 2 s after its entry went.
+/// How long an entry is retained whose removal comes too late after an outage to stem from it.
+/// Endpoints renew their entries about every 1.2 s, so the entry of an endpoint that lives is
+/// back by then. An endpoint that has ended may receive no request 2 s after its entry was
+/// removed.
 pub const RENEWAL_RETENTION: Duration = Duration::from_millis(1500);
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// It is about to end and accepts none.
     Draining,
 }
 
-/// When an endpoint started, in milliseconds of Unix time by its instance's clock, which
-/// may step: two differ, and say nothing of which one came first.
+/// The start time of an endpoint, in milliseconds of Unix time by its instance's clock. That
+/// clock may step, so two start times only tell two runs apart; they do not order them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start(pub u64);
 
@@ -52,108 +54,108 @@
 pub struct Entry {
     /// Its service.
     pub service: Service,
-    /// Where it answers.
+    /// The address at which it serves requests.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// How many requests it handles at once.
+    /// Number of requests that it handles concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// How much longer it was to be cold when it wrote this.
+    /// Remaining warm-up time when the endpoint wrote the entry.
     pub cold: Duration,
-    /// The models that it holds whole, with their versions.
+    /// The models of which it holds all layers, with their versions.
     pub models: Vec<(Model, Version)>,
-    /// Whether it held a model's layers, in whole or in part, when it wrote this.
+    /// Whether the endpoint held layers of a model, all or some, when it wrote the entry.
     pub reports_models: bool,
-    /// When it started, where the platform tells it. One that starts again may have the
-    /// name that it had, and knows nothing of before.
+    /// Its start time, if the platform lists it. An endpoint that restarts may keep its name, and
+    /// has no state from its previous run.
     pub start: Option<Start>,
 }
 
 impl Entry {
-    /// Whether the endpoint takes new work.
+    /// Whether the endpoint accepts new requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state == State::Ready
     }
 
-    /// Whether it is the same run of the endpoint that another entry of its name was of.
+    /// Whether this entry and another of the same name describe the same run of the endpoint.
     #[must_use]
     pub fn is_same_run(&self, other: &Self) -> bool {
         self.address == other.address && self.start == other.start
     }
 }
 
-/// The list at a revision.
+/// The list of endpoints at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Directory {
     /// The endpoints, by name.
     pub entries: BTreeMap<Endpoint, Entry>,
-    /// Those of them that lapsed around an outage, and how much longer each is kept if it
-    /// is not back. It is told along, since a time that began anew with each gateway would
-    /// let an endpoint that left live on from one to the next.
+    /// Retained entries: endpoints whose entries expired around an outage, and how much longer
+    /// each is retained unless it is renewed. Gateways send the remaining times along: if each
+    /// gateway started a new time, an endpoint that has ended would be passed from one gateway
+    /// to the next for good.
     pub retained: BTreeMap<Endpoint, Duration>,
-    /// Those whose entry there is but names no endpoint to use: none of them is kept.
+    /// Endpoints whose entry exists but cannot be used. Such entries are never retained.
     pub unusable: BTreeSet<Endpoint>,
 }
 
 /// A change of one entry.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// The entry is now this.
+    /// The entry was added or replaced.
     Put(Endpoint, Entry),
-    /// There is no such entry any more.
+    /// The entry was removed.
     Removed(Endpoint),
-    /// The entry names no endpoint to use: someone else wrote it, or what they wrote
-    /// cannot be read.
+    /// The entry cannot be used: it was not written by the endpoint, or cannot be parsed.
     Unusable(Endpoint),
 }
 
-/// The time after an outage of the platform.
+/// The retention period after an outage of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Settling {
-    returned: Duration,
-    // Until when entries that lapsed meanwhile are kept.
+struct Recovery {
+    ended: Duration,
+    // The end of the retention of entries that expired during the outage.
     until: Duration,
 }
 
-impl Settling {
-    /// Until when an entry is kept that goes now.
-    fn kept_until(self, now: Duration) -> Duration {
-        let is_first_news = now <= self.returned + FIRST_NEWS;
-        if is_first_news { self.until } else { self.until.min(now + RENEWAL_RETENTION) }
+impl Recovery {
+    /// The end of the retention of an entry that is removed now.
+    fn retained_until(self, now: Duration) -> Duration {
+        let is_from_outage = now <= self.ended + FIRST_UPDATES;
+        if is_from_outage { self.until } else { self.until.min(now + RENEWAL_RETENTION) }
     }
 }
 
-/// Keeps the list of endpoints across outages of the platform.
-// Invariant: `directory.retained` is empty, it is made for whoever is told; all that are
-// `retained` are in `directory.entries`.
+/// Tracks the list of endpoints across outages of the platform.
+// Invariant: `directory.retained` is empty, only snapshots fill it; every key of `retained` is
+// in `directory.entries`.
 #[derive(Debug, Default)]
 pub struct Tracker {
     directory: Directory,
     revision: Revision,
-    // After an outage, while entries that go are taken for lapsed ones, and kept.
-    settling: Option<Settling>,
-    // Those that are kept, and until when.
+    // Set after an outage, while removed entries count as expired and are retained.
+    recovery: Option<Recovery>,
+    // Retained entries, and the end of their retention.
     retained: BTreeMap<Endpoint, Duration>,
-    // Those that were written anew since the platform's return: if they go, they left.
-    back: BTreeSet<Endpoint>,
-    // Those whose address another endpoint has now, as they were. Their entries last a
-    // while yet.
+    // Endpoints that renewed their entries since the outage: if removed again, they have ended.
+    renewed: BTreeSet<Endpoint>,
+    // The last entries of endpoints whose address another endpoint has now. The platform still
+    // lists them until they expire.
     displaced: BTreeMap<Endpoint, Entry>,
-    // The services that there are; none before any is known.
+    // The declared services; `None` until a configuration is known.
     services: Option<BTreeSet<Service>>,
 }
 
 impl Tracker {
-    /// The list now.
+    /// The current list, without remaining retention times.
     #[must_use]
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// The list as another gateway is told of it.
+    /// The list for another gateway, with the remaining time of each retained entry.
     #[must_use]
     pub fn snapshot(&self, now: Duration) -> Directory {
         let retained = self.retained.iter();
@@ -168,41 +170,42 @@
         self.revision
     }
 
-    /// When an entry that is kept is to be given up next; none if none is.
+    /// When the retention of an entry ends next; `None` if no entry is retained.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         self.retained.values().min().copied()
     }
 
-    /// Takes in which services there are.
+    /// Sets the declared services. Entries of other services displace no endpoint.
     pub fn set_services(&mut self, services: BTreeSet<Service>) {
         self.services = Some(services);
     }
 
-    /// Takes in when the platform answered again, and when it was last known to be away.
-    pub fn record_recovery(&mut self, at: Duration, away: Duration) {
-        let until = (at + RETENTION).min(away + MAX_RETENTION);
-        let settling = Some(Settling { returned: at, until });
-        if self.settling != settling {
-            self.back.clear();
+    /// Records that an outage ended: the platform answered again at `at`, and was last known to
+    /// be unreachable at `unreachable_at`.
+    pub fn record_recovery(&mut self, at: Duration, unreachable_at: Duration) {
+        let until = (at + RETENTION).min(unreachable_at + MAX_RETENTION);
+        let recovery = Some(Recovery { ended: at, until });
+        if self.recovery != recovery {
+            self.renewed.clear();
         }
-        self.settling = settling;
+        self.recovery = recovery;
     }
 
-    /// Takes in that the platform was away for this gateway only, so that no entry
-    /// has lapsed by it; true when one is given up by that.
+    /// Records that the platform was unreachable for this gateway only, so that no entry expired
+    /// because of it. Drops all retained entries and returns whether there were any.
     pub fn record_local_outage(&mut self) -> bool {
-        self.settling = None;
+        self.recovery = None;
         let retained = std::mem::take(&mut self.retained);
-        self.give_up(retained.into_keys())
+        self.drop_entries(retained.into_keys())
     }
 
-    /// Takes in the whole list; true when anything changed.
+    /// Replaces the whole list, unless the new one is older. Returns whether anything changed.
     pub fn replace(&mut self, revision: Revision, listed: Directory, now: Duration) -> bool {
         if revision < self.revision {
             return false;
         }
-        let listed = self.credible(listed);
+        let listed = self.without_ended(listed);
         let gone: Vec<_> = self
             .directory
             .entries
@@ -217,38 +220,39 @@
             false => Change::Removed(name),
         });
         let mut changed = self.apply(revision, gone, now);
-        let kept = self.retained.clone();
+        let own_retained = self.retained.clone();
         self.directory.unusable = listed.unusable;
         for (name, entry) in listed.entries {
             changed |= self.put(name, entry, |other| known.contains(other));
         }
         for (name, left) in listed.retained {
-            // That another gateway keeps it as well does not tell that it is back; whoever
-            // gives it up first does so without a newer list.
-            self.back.remove(&name);
-            let told = now + left.min(RETENTION);
-            let until = kept.get(&name).map_or(told, |own| told.min(*own));
+            // Another gateway's retained entry does not show that the endpoint renewed it. The
+            // earlier end of retention holds: dropping an entry makes no newer list.
+            self.renewed.remove(&name);
+            let received = now + left.min(RETENTION);
+            let until = own_retained.get(&name).map_or(received, |own| received.min(*own));
             self.retained.insert(name, until);
         }
         changed
     }
 
-    /// A list without what another gateway keeps and this one knows to have left, or
-    /// to be about to; who knows nothing yet takes all.
-    fn credible(&self, mut listed: Directory) -> Directory {
+    /// Removes from a list the entries that another gateway retains and whose endpoints, as this
+    /// gateway knows, have ended or are draining. A gateway without a list accepts all.
+    fn without_ended(&self, mut listed: Directory) -> Directory {
         if self.revision == Revision::default() {
             return listed;
         }
         let entries = &self.directory.entries;
         let ready = |name: &Endpoint| entries.get(name).is_some_and(Entry::is_ready);
-        let (kept, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
+        let (retained, ended): (BTreeMap<_, _>, BTreeMap<_, _>) =
             listed.retained.into_iter().partition(|(name, _)| ready(name));
-        listed.retained = kept;
-        listed.entries.retain(|name, _| !left.contains_key(name));
+        listed.retained = retained;
+        listed.entries.retain(|name, _| !ended.contains_key(name));
         listed
     }
 
-    /// Takes in changes up to a revision; true when anything changed.
+    /// Applies changes up to a revision, unless it is older than the list. Returns whether
+    /// anything changed.
     pub fn apply(
         &mut self,
         revision: Revision,
@@ -259,21 +263,21 @@
             return false;
         }
         self.revision = revision;
-        let settling = self.settling.filter(|settling| now < settling.until);
+        let recovery = self.recovery.filter(|recovery| now < recovery.until);
         let mut changed = false;
         for change in changes {
-            changed |= self.apply_one(change, settling, now);
+            changed |= self.apply_one(change, recovery, now);
         }
         changed
     }
 
-    /// Takes in one change; true when the list is another then.
-    fn apply_one(&mut self, change: Change, settling: Option<Settling>, now: Duration) -> bool {
+    /// Applies one change. Returns whether the list changed.
+    fn apply_one(&mut self, change: Change, recovery: Option<Recovery>, now: Duration) -> bool {
         match change {
             Change::Put(name, entry) => self.put(name, entry, |_| true),
             Change::Removed(name) => {
                 self.directory.unusable.remove(&name);
-                self.remove(name, settling, now)
+                self.remove(name, recovery, now)
             }
             Change::Unusable(name) => {
                 self.directory.unusable.insert(name.clone());
@@ -282,44 +286,50 @@
         }
     }
 
-    /// Puts an entry, in place of those that had its address where they may be
-    /// older; true when the list is another then.
-    fn put(&mut self, name: Endpoint, entry: Entry, older: impl Fn(&Endpoint) -> bool) -> bool {
+    /// Adds or replaces an entry, and removes other entries with its address for which
+    /// `may_be_older` is true. Returns whether the list changed.
+    fn put(
+        &mut self,
+        name: Endpoint,
+        entry: Entry,
+        may_be_older: impl Fn(&Endpoint) -> bool,
+    ) -> bool {
         if self.is_displaced(&name, &entry) {
             return false;
         }
         self.directory.unusable.remove(&name);
         if self.retained.remove(&name).is_some() {
-            self.back.insert(name.clone());
+            self.renewed.insert(name.clone());
         }
-        let displaced = self.displace(&name, &entry, older);
+        let displaced = self.displace(&name, &entry, may_be_older);
         let old = self.directory.entries.insert(name, entry.clone());
         displaced || old.as_ref() != Some(&entry)
     }
 
-    /// Whether an entry is of an endpoint whose address another one has now.
+    /// Whether an entry describes a run of an endpoint whose address another endpoint has now.
     fn is_displaced(&self, name: &Endpoint, entry: &Entry) -> bool {
         let taken = || self.directory.entries.values().any(|known| known.address == entry.address);
         self.displaced.get(name).is_some_and(|before| before.is_same_run(entry)) && taken()
     }
 
-    /// Removes those that had an address before its endpoint; true when any did.
+    /// Removes older entries of other endpoints with the address of this entry. Returns whether
+    /// there were any.
     fn displace(
         &mut self,
         name: &Endpoint,
         entry: &Entry,
-        older: impl Fn(&Endpoint) -> bool,
+        may_be_older: impl Fn(&Endpoint) -> bool,
     ) -> bool {
         let entries = &mut self.directory.entries;
-        // An endpoint that was there already displaces nobody by being there still, nor
-        // does one of a service that nothing leads to: anyone may have written that.
-        let was_there = entries.get(name).is_some_and(|known| known.is_same_run(entry));
+        // An entry that was listed before is not newer than the others. An entry of an undeclared
+        // service displaces none either, since anyone may have written it.
+        let was_listed = entries.get(name).is_some_and(|known| known.is_same_run(entry));
         let is_known = self.services.as_ref().is_none_or(|known| known.contains(&entry.service));
-        if was_there || !is_known {
+        if was_listed || !is_known {
             return false;
         }
         let had = |(other, known): &(&Endpoint, &Entry)| {
-            *other != name && known.address == entry.address && older(other)
+            *other != name && known.address == entry.address && may_be_older(other)
         };
         let gone: BTreeMap<_, _> = entries
             .iter()
@@ -334,13 +344,13 @@
         any
     }
 
-    /// Removes an entry; while entries settle after an outage, one that was ready
-    /// and may have lapsed is only noted as retained.
-    fn remove(&mut self, name: Endpoint, settling: Option<Settling>, now: Duration) -> bool {
-        let settling = settling.filter(|_| !self.back.contains(&name));
+    /// Removes an entry. After an outage, retains it instead if its endpoint was ready and has
+    /// not renewed it since. Returns whether the list changed.
+    fn remove(&mut self, name: Endpoint, recovery: Option<Recovery>, now: Duration) -> bool {
+        let recovery = recovery.filter(|_| !self.renewed.contains(&name));
         let ready = self.directory.entries.get(&name).is_some_and(Entry::is_ready);
-        if let Some(settling) = settling.filter(|_| ready) {
-            let until = settling.kept_until(now);
+        if let Some(recovery) = recovery.filter(|_| ready) {
+            let until = recovery.retained_until(now);
             self.retained
                 .entry(name)
                 .and_modify(|known| *known = until.min(*known))
@@ -352,11 +362,11 @@
         self.directory.entries.remove(&name).is_some()
     }
 
-    /// Gives up entries that are not back in time; true when any was.
+    /// Drops retained entries that were not renewed in time. Returns whether there were any.
     pub fn expire(&mut self, now: Duration) -> bool {
-        if self.settling.is_some_and(|settling| settling.until <= now) {
-            self.settling = None;
-            self.back.clear();
+        if self.recovery.is_some_and(|recovery| recovery.until <= now) {
+            self.recovery = None;
+            self.renewed.clear();
         }
         let late: Vec<_> = self
             .retained
@@ -365,12 +375,12 @@
             .map(|(name, _)| name.clone())
             .collect();
         self.retained.retain(|_, until| *until > now);
-        self.give_up(late)
+        self.drop_entries(late)
     }
 
-    /// Removes entries; true when any was there.
-    fn give_up(&mut self, retained: impl IntoIterator<Item = Endpoint>) -> bool {
+    /// Removes entries from the list. Returns whether any was listed.
+    fn drop_entries(&mut self, names: impl IntoIterator<Item = Endpoint>) -> bool {
         let entries = &mut self.directory.entries;
-        retained.into_iter().fold(false, |any, name| any | entries.remove(&name).is_some())
+        names.into_iter().fold(false, |any, name| any | entries.remove(&name).is_some())
     }
 }
--- a/crates/core/src/gateway/event.rs
+++ b/crates/core/src/gateway/event.rs
@@ -1,34 +1,37 @@
-//! Cutting a stream of server-sent events into whole ones.
+//! Splitting a stream of server-sent events into whole events.
+//!
+//! See the [HTML specification](https://html.spec.whatwg.org/multipage/server-sent-events.html)
+//! for the format.
 
-/// What an empty line is, after the end of the line before it. Lines end in a line
-/// feed, with a carriage return before it or not; senders may mix the two.
-const EMPTY: [&[u8]; 2] = [b"\n", b"\r\n"];
+/// The forms of an empty line. Lines end in a line feed with or without a carriage return
+/// before it, and senders may mix the two.
+const EMPTY_LINES: [&[u8]; 2] = [b"\n", b"\r\n"];
 
-/// The field that numbers an event.
-const ID: &[u8] = b"id:";
+/// The field with the id of an event.
+const ID_FIELD: &[u8] = b"id:";
 
-/// The most bytes that an event may have.
-const MAX_EVENT: usize = 256 << 10;
+/// Maximum size of an event.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Whole events and the number of the last of them.
+/// One or more whole events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes.
+    /// The bytes of the events.
     pub bytes: Vec<u8>,
-    /// How many they are.
+    /// The number of events.
     pub count: usize,
-    /// The number of the last one that has one.
+    /// The id of the last event that has one.
     pub last_id: Option<u64>,
 }
 
-/// Collects bytes until they make up whole events.
+/// Buffers bytes until they form whole events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    // What has come of an event that is not whole yet.
+    // The bytes of an incomplete event.
     rest: Vec<u8>,
 }
 
-/// A stream's events cannot be told apart.
+/// Why a stream cannot be split into events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display)]
 pub enum Error {
     /// an event has more bytes than are allowed
@@ -38,15 +41,15 @@
 impl std::error::Error for Error {}
 
 impl Splitter {
-    /// Takes in bytes; gives the whole events that they complete, if any.
+    /// Appends bytes and returns the events that they complete, if any.
     ///
     /// # Errors
     ///
-    /// When an event does not end.
+    /// When an incomplete event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Events>, Error> {
         self.rest.extend_from_slice(bytes);
         let Some(end) = last_end(&self.rest) else {
-            return if self.rest.len() > MAX_EVENT { Err(Error::TooLong) } else { Ok(None) };
+            return if self.rest.len() > MAX_EVENT_BYTES { Err(Error::TooLong) } else { Ok(None) };
         };
         let rest = self.rest.split_off(end);
         let whole = std::mem::replace(&mut self.rest, rest);
@@ -56,14 +59,14 @@
         Ok(Some(Events { bytes: whole, count, last_id }))
     }
 
-    /// Whether an event has begun that is not whole.
+    /// Whether the buffer holds an incomplete event.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.rest.is_empty()
     }
 }
 
-/// The events of bytes that end with one, each with its empty line.
+/// Splits bytes that end with a whole event into events, each with its empty line.
 fn events(bytes: &[u8]) -> Vec<&[u8]> {
     let mut events = Vec::new();
     let mut start = 0;
@@ -74,20 +77,20 @@
     events
 }
 
-/// Where the last whole event ends.
+/// The position after the last whole event, if there is one.
 fn last_end(bytes: &[u8]) -> Option<usize> {
     (0..bytes.len()).rev().find_map(|at| end(bytes, at))
 }
 
-/// Where an event ends whose last line ends at a place, if it does: after an empty line.
+/// The position after the event whose last line ends at `at`, if an empty line follows there.
 fn end(bytes: &[u8], at: usize) -> Option<usize> {
     let rest = bytes[at..].strip_prefix(b"\n")?;
-    let empty = EMPTY.into_iter().find(|empty| rest.starts_with(empty))?;
+    let empty = EMPTY_LINES.into_iter().find(|empty| rest.starts_with(empty))?;
     Some(at + 1 + empty.len())
 }
 
-/// The number of an event.
+/// The id of an event, if it has a numeric one.
 fn id(event: &[u8]) -> Option<u64> {
-    let line = event.split(|byte| *byte == b'\n').find(|line| line.starts_with(ID))?;
-    std::str::from_utf8(&line[ID.len()..]).ok()?.trim().parse().ok()
+    let line = event.split(|byte| *byte == b'\n').find(|line| line.starts_with(ID_FIELD))?;
+    std::str::from_utf8(&line[ID_FIELD.len()..]).ok()?.trim().parse().ok()
 }
--- a/crates/core/src/gateway/fact.rs
+++ b/crates/core/src/gateway/fact.rs
@@ -1,8 +1,8 @@
-//! Facts with the revision at which they held.
+//! Values from the platform's store with the revision at which they held.
 
 use serde::{Deserialize, Serialize};
 
-/// The store's count of changes: it grows with each.
+/// The revision of the store, which grows with each change of its contents.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,17 +14,17 @@
     }
 }
 
-/// Something that held at a revision.
+/// A value that held at a revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fact<T> {
-    /// When it held; zero while nothing is known.
+    /// The revision; zero while nothing is known.
     pub revision: Revision,
-    /// What held.
+    /// The value at that revision.
     pub value: T,
 }
 
 impl<T> Fact<T> {
-    /// A fact that held at a revision.
+    /// A value that held at a revision.
     #[must_use]
     pub fn new(revision: Revision, value: T) -> Self {
         Self { revision, value }
--- a/crates/core/src/gateway/fingerprint.rs
+++ b/crates/core/src/gateway/fingerprint.rs
@@ -1,6 +1,6 @@
-//! Telling that two attempts are the same request.
+//! Fingerprints of requests, which show that two attempts are the same request.
 //!
-//! Each attempt has an id of its own; a fingerprint is made of what stays the same.
+//! Each attempt has its own id, so a fingerprint hashes the parts that all attempts share.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,23 +8,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What stays the same when a request is attempted again.
+/// The parts of a request that stay the same in each attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Identity<'a> {
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that it is meant for.
+    /// The target host.
     pub host: &'a str,
     /// The path, with the query.
     pub path: &'a str,
-    /// Who asks: the team, or else what the caller proves itself with.
+    /// The caller: its team, or else its credentials.
     pub caller: &'a str,
-    /// Its whole body.
+    /// The whole body.
     pub body: &'a [u8],
 }
 
-/// Tells requests apart by what stays the same from one attempt to the next; its text
-/// is 16 hexadecimal digits.
+/// A 64-bit hash of a request's [`Identity`]. Its text form has 16 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
@@ -35,7 +34,7 @@
         let Identity { method, host, path, caller, body } = identity;
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), host.as_bytes(), path.as_bytes(), caller.as_bytes(), body] {
-            // Lengths keep the end of one part from passing for the start of the next.
+            // Without lengths, bytes could move from one part to the next and hash the same.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/core/src/gateway/listing.rs
+++ b/crates/core/src/gateway/listing.rs
@@ -1,11 +1,11 @@
-//! Whom an agent asks for the listing of a version's chunks.
+//! The source from which an agent fetches the listing of a version's chunks.
 //!
-//! A listing is as long as a part of a chunk, and an origin takes few
-//! connections: were all agents to ask it, most would be reset, and again at
-//! each retry. So the agents of a zone form a tree, ranked by a hash that
-//! differs from version to version: its root asks the origin, the others ask
-//! their parents. Whoever gets nothing that way asks its further ancestors,
-//! then others and the origin by turns, the later the lower its rank.
+//! A listing is about as large as a part of a chunk, and an origin accepts few connections: if
+//! all agents fetched from it, most connections would be reset, and again at each retry. So the
+//! agents of a zone form a tree, ranked by a hash that differs between versions. The root fetches
+//! from the origin, the others from their parents. After a failure an agent tries its further
+//! ancestors, then other agents and the origin alternately; the lower its rank, the later it
+//! turns to the origin.
 
 use std::cmp::Reverse;
 
@@ -13,47 +13,46 @@
 
 use crate::rendezvous::{Key, weight};
 
-/// How many agents ask the same parent: a parent's link gives a listing to so
-/// many in a few tens of milliseconds.
+/// Number of children per agent: a parent's link transfers a listing to this many in a few tens
+/// of milliseconds.
 const CHILDREN: usize = 4;
 
-/// How many agents of a zone may ask the origin by the same round, once their
-/// ancestors gave nothing.
-const ROUND: usize = 8;
+/// Number of agents of a zone that start to fetch from the origin in the same round, once all
+/// their ancestors have failed.
+const AGENTS_PER_ROUND: usize = 8;
 
-/// Who is asked.
+/// The source of a listing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Source<'a> {
     /// The origin.
     Origin,
-    /// Another agent, which may wait for the listing itself.
+    /// Another agent, which may itself still wait for the listing.
     Peer(&'a Peer),
 }
 
-/// The agents that may have a version's listing, as one of them sees them.
+/// The agents that may have a version's listing, seen from one of them.
 #[derive(Debug, Clone)]
 pub struct Tree {
-    // Invariants: all agents of the own zone in their rank, `zone[own]` among them.
+    // Invariant: all agents of the own zone in the order of their ranks; `zone[own]` is this one.
     zone: Vec<Peer>,
     own: usize,
-    beyond: Vec<Peer>,
+    other_zones: Vec<Peer>,
 }
 
 impl Tree {
-    /// The tree of a version, by a key that tells versions apart; `own` joins
-    /// it where the peers lack it.
+    /// The tree of the version with the key `version`. Adds `own` if `peers` lacks it.
     #[must_use]
     pub fn new(version: Key, own: &Peer, peers: &[Peer]) -> Self {
         let others = peers.iter().filter(|peer| peer.instance != own.instance);
         let mut all: Vec<_> = others.chain([own]).cloned().collect();
         all.sort_by_cached_key(|peer| Reverse(weight(version, Key::of(peer.instance.as_str()))));
-        let (zone, beyond): (Vec<_>, Vec<_>) =
+        let (zone, other_zones): (Vec<_>, Vec<_>) =
             all.into_iter().partition(|peer| peer.zone == own.zone);
         let position = zone.iter().position(|peer| peer.instance == own.instance);
-        Self { zone, own: position.unwrap_or_default(), beyond }
+        Self { zone, own: position.unwrap_or_default(), other_zones }
     }
 
-    /// Whom to ask after so many attempts that brought nothing.
+    /// The source for the attempt with this number, counted from 0.
     #[must_use]
     pub fn source(&self, attempt: usize) -> Source<'_> {
         match self.ancestor(attempt) {
@@ -62,8 +61,8 @@
         }
     }
 
-    /// An ancestor: the parent, its parent, and so on up to the root. Beyond the
-    /// root, by how much.
+    /// The ancestor with this number: 0 is the parent, 1 its parent, and so on up to the root.
+    /// Beyond the root, the error says by how many.
     fn ancestor(&self, number: usize) -> Result<&Peer, usize> {
         let mut rank = self.own;
         for passed in 0..=number {
@@ -73,20 +72,20 @@
         Ok(&self.zone[rank])
     }
 
-    /// Whom to ask once all ancestors gave nothing: the origin and others by turns.
+    /// The source once all ancestors have failed: the origin and other agents alternately.
     fn fallback(&self, attempt: usize) -> Source<'_> {
         let round = attempt / 2;
-        let origins_turn = attempt.is_multiple_of(2) && round >= self.own / ROUND;
+        let is_origin_due = attempt.is_multiple_of(2) && round >= self.own / AGENTS_PER_ROUND;
         let mut others = self.others().cycle().skip(self.own + round);
-        match others.next().filter(|_| !origins_turn) {
+        match others.next().filter(|_| !is_origin_due) {
             Some(peer) => Source::Peer(peer),
             None => Source::Origin,
         }
     }
 
-    /// All other agents, those of the zone first.
+    /// All other agents, those of the own zone first.
     fn others(&self) -> impl Iterator<Item = &Peer> + Clone {
         let zone = self.zone.iter().enumerate().filter(|(rank, _)| *rank != self.own);
-        zone.map(|(_, peer)| peer).chain(&self.beyond)
+        zone.map(|(_, peer)| peer).chain(&self.other_zones)
     }
 }
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -1,30 +1,35 @@
 //! Decisions of a gateway: an entry instance that forwards opaque requests
-//! straight to endpoints.
+//! straight to endpoints. Nothing here does I/O; callers pass the time in.
 //!
-//! - What is known: [`catalog`] holds the configuration in force, [`directory`]
-//!   the endpoints as the platform lists them, [`rollout`] the versions that
-//!   models are to have, and [`timeline`] for how long they have been named. Each
-//!   is a [`fact`] that only a newer one replaces; [`lag`] says how far the
-//!   configuration is behind, [`region`] who reads it and who asks whom for it, and
-//!   [`difference`] what of it is new. [`outage`] tells whether the
-//!   platform was away for all or for this gateway only.
-//! - Where a request goes: [`load`] estimates what endpoints are busy with
-//!   by what the agents of its [`subset`] tell each gateway in [`rotation`], the [`tally`] of what all
-//!   gateways have there among it; [`demand`] is how much is asked, [`caller_timeout`] how
-//!   long a caller has waited; [`pick`] chooses an endpoint or refuses, [`health`]
-//!   leaves out those that fail. Under load, the agents of some endpoints are queried first and
-//!   make a [`reservation`] for the request.
-//!   [`residency`] says in which regions a request may be served, [`evacuation`] which
-//!   availability zones receive nothing, [`cold`] how much an endpoint bears after its start.
-//! - How engines change weights: [`listing`] says whom to ask for what a version
-//!   consists of, [`changeover`] when each engine switches, [`overlap`] how long requests are
-//!   still sent to the old version, [`link`] whether traffic to an engine may be delayed.
-//! - What may be repeated: [`attempt`] knows what became of each send, and
-//!   [`budget`] bounds sends beyond the first, of which each gateway has a share:
-//!   [`gossip`] says how many gateways there are.
-//! - [`notice`] knows what endpoints say of themselves in their answers.
-//! - [`suspect`] knows requests under which endpoints end, by their [`fingerprint`]s.
-//! - [`event`] cuts a stream into whole events, so that it can be resumed.
+//! - State: [`catalog`] holds the configuration in force, [`directory`] the endpoints
+//!   that the platform lists, [`rollout`] the target version of each model, and
+//!   [`timeline`] how long each version has been the target. Each of these is a
+//!   [`fact`], which only a newer revision replaces. [`lag`] measures how far the
+//!   configuration is behind the newest one known. [`region`] selects the gateways that
+//!   read the configuration from the platform, and the peers that the others fetch it
+//!   from; [`difference`] encodes what changed between two configurations. [`watch`] bounds
+//!   how old data from the platform may be, and [`outage`] decides whether the platform was
+//!   unreachable for all gateways or for this one only.
+//! - Routing: a caller's request is a [`call`]. [`load`] estimates the work at each endpoint
+//!   from the reports that the agents of the gateway's [`subset`] send to it in [`rotation`],
+//!   and from the [`tally`] of what all gateways have outstanding there. [`demand`] measures
+//!   the rate of requests, and [`caller_timeout`] estimates how long a caller has already
+//!   waited. [`pick`] selects an endpoint or refuses the request; [`health`] ejects endpoints
+//!   that fail. Under load, the agents of some endpoints are queried first and make a
+//!   [`reservation`] for the request.
+//!   [`residency`] limits the regions in which a request may be served, [`evacuation`] lists
+//!   the availability zones that receive no requests, and [`cold`] limits the requests to
+//!   an endpoint that has just started.
+//! - Weight rollouts: [`listing`] selects the source from which an agent fetches the list of a
+//!   version's chunks, [`changeover`] schedules when each engine switches, [`overlap`] limits
+//!   how long requests are still sent to the old version, and [`link`] detects instances whose
+//!   traffic may be delayed.
+//! - Retries: [`attempt`] records the outcome of each send of a request, and [`budget`] limits
+//!   the sends beyond the first. Each gateway has a share of that budget, and [`gossip`] counts
+//!   the gateways.
+//! - [`notice`] stores what endpoints announce in their answers.
+//! - [`suspect`] tracks requests during which endpoints ended, by [`fingerprint`].
+//! - [`event`] splits a stream into whole events, so that another endpoint can resume it.
 
 pub mod attempt;
 pub mod budget;
--- a/crates/core/src/gateway/name.rs
+++ b/crates/core/src/gateway/name.rs
@@ -1,4 +1,4 @@
-//! Names that the platform gives. They are compared, never taken apart.
+//! Names assigned by the platform. They are opaque: code compares them and never parses them.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -40,7 +40,7 @@
         }
 
         impl Default for $type {
-            /// The empty name, which nothing has.
+            /// The empty name, which the platform never assigns.
             fn default() -> Self {
                 "".into()
             }
@@ -67,7 +67,7 @@
 }
 
 name!(
-    /// An endpoint. One that starts again may have the name that it had.
+    /// An endpoint. An endpoint that restarts may keep its name.
     Endpoint
 );
 name!(
@@ -75,7 +75,7 @@
     Service
 );
 name!(
-    /// A model, of which there are versions.
+    /// A model, which has versions.
     Model
 );
 name!(
@@ -87,7 +87,7 @@
     Region
 );
 name!(
-    /// A team, as endpoints are told of it.
+    /// A team, as requests to endpoints name it.
     Team
 );
 name!(
--- a/crates/core/src/gateway/residency.rs
+++ b/crates/core/src/gateway/residency.rs
@@ -1,7 +1,8 @@
-//! In which regions a request may be served.
+//! Data residency: the regions in which a request may be served.
 //!
-//! A route and a team may each name regions; where both do, both bind. The limits hold for every
-//! send of a request, also for a repeat and for a stream that another endpoint continues.
+//! A route and a team may each name regions; if both do, a region must be in both sets. The limits
+//! hold for every send of a request, including retries and streams that another endpoint
+//! continues.
 
 use std::collections::BTreeSet;
 
@@ -10,19 +11,19 @@
 use super::name::Region;
 
 /// The regions in which a route or a team allows requests to be served.
-// Invariant: an empty set stands for every region.
+// An empty set allows every region.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllowedRegions(BTreeSet<Region>);
 
 impl AllowedRegions {
-    /// Whether requests may be served in a region; a zone of no known region has the empty
-    /// name, which no allowed regions contain.
+    /// Whether requests may be served in a region. A zone without a known region has the empty
+    /// region name, which no set contains.
     #[must_use]
     pub fn allows(&self, region: &Region) -> bool {
         self.0.is_empty() || self.0.contains(region)
     }
 
-    /// The regions that are named.
+    /// The regions that the set names.
     pub fn regions(&self) -> impl Iterator<Item = &Region> {
         self.0.iter()
     }
@@ -34,18 +35,18 @@
     }
 }
 
-/// All limits that bind one request.
+/// All sets of allowed regions that apply to one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Residency(Vec<AllowedRegions>);
 
 impl Residency {
-    /// Whether the request may be served in a region.
+    /// Whether every set allows a region.
     #[must_use]
     pub fn allows(&self, region: &Region) -> bool {
         self.0.iter().all(|regions| regions.allows(region))
     }
 
-    /// Adds the limits of a newer configuration: what is not sent yet is bound by both.
+    /// Adds the limits of a newer configuration: a request that is not sent yet must meet both.
     #[must_use]
     pub fn and(mut self, other: Self) -> Self {
         let more =
