--- a/tests/testsuite/gateway/attempt.rs
+++ b/tests/testsuite/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, over all short histories of sends.
+//! Retry decisions, for every short history of sends.
 
 use cinderspoke_core::gateway::attempt::{Guarantee, History, Next, Outcome};
 
@@ -11,12 +11,12 @@
     Outcome::Failed,
 ];
 
-/// Whether a request may have run that had this outcome.
-fn ran(outcome: &Outcome) -> bool {
+/// Whether a request may have run in a send with this outcome.
+fn may_have_run(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Lost | Outcome::Stale | Outcome::BrokenOff | Outcome::Failed)
 }
 
-/// All histories of at most `length` sends, each with the outcomes that led to it.
+/// All histories of at most `length` sends, each with its outcomes.
 fn histories(length: usize) -> Vec<(Vec<Outcome>, History)> {
     let mut all = vec![(Vec::new(), History::default())];
     let mut last = all.clone();
@@ -37,21 +37,21 @@
 }
 
 #[test]
-fn no_history_promises_that_a_request_has_not_run_when_it_may_have() {
+fn no_history_guarantees_not_run_when_the_request_may_have_run() {
     for (outcomes, history) in histories(5) {
-        let may_have_run = outcomes.iter().any(ran);
-        let guarantee = if may_have_run { Guarantee::None } else { Guarantee::NotRun };
+        let has_maybe_run = outcomes.iter().any(may_have_run);
+        let guarantee = if has_maybe_run { Guarantee::None } else { Guarantee::NotRun };
         assert_eq!(history.guarantee(), guarantee, "{outcomes:?}");
     }
 }
 
 #[test]
-fn what_may_run_once_is_never_sent_again_after_it_may_have_run() {
+fn a_non_repeatable_request_is_not_retried_after_it_may_have_run() {
     for (outcomes, history) in histories(5) {
-        let may_have_run = outcomes.iter().any(ran);
+        let has_maybe_run = outcomes.iter().any(may_have_run);
         for most in 1..4 {
             let next = history.next(false, most, true);
-            assert!(!may_have_run || next != Next::Retry, "{outcomes:?} of {most}");
+            assert!(!has_maybe_run || next != Next::Retry, "{outcomes:?} of {most}");
         }
     }
 }
@@ -59,7 +59,7 @@
 #[test]
 fn no_request_runs_on_more_endpoints_than_its_route_allows() {
     for (outcomes, history) in histories(5) {
-        let runs = outcomes.iter().filter(|outcome| ran(outcome)).count();
+        let runs = outcomes.iter().filter(|outcome| may_have_run(outcome)).count();
         for most in 1..4 {
             let next = history.next(true, most, true);
             assert!(runs < most as usize || next != Next::Retry, "{outcomes:?} of {most}");
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn refused_sends_end_as_well() {
+fn refused_sends_are_limited_as_well() {
     let mut history = History::default();
     let mut sends = 0;
     while history.next(true, 2, true) == Next::Retry {
         history.record(Outcome::Refused);
         sends += 1;
-        assert!(sends < 10, "a request that everyone refuses is never answered");
+        assert!(sends < 10, "a request that every endpoint refuses is never answered");
     }
     assert_eq!(history.guarantee(), Guarantee::NotRun);
 }
--- a/tests/testsuite/gateway/catalog.rs
+++ b/tests/testsuite/gateway/catalog.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and shares of a configuration.
+//! Looking up routes, API keys and shares in a configuration.
 
 use cinderspoke_core::gateway::catalog::{
     Access, Backend, Catalog, Declared, Kind, Limits, Route, Share, Tenancy,
--- a/tests/testsuite/gateway/changeover.rs
+++ b/tests/testsuite/gateway/changeover.rs
@@ -1,4 +1,4 @@
-//! The waves in which engines change weights.
+//! The waves in which engines switch to a new version.
 
 use std::time::Duration;
 
@@ -21,11 +21,11 @@
     }
     let single = [("a", "10.0.0.1"), ("b", "10.0.0.2")];
     let waves: Vec<_> = single.iter().map(|own| wave("m 2", *own, &single)).collect();
-    assert_ne!(waves[0], waves[1], "zones of one engine go one after the other");
+    assert_ne!(waves[0], waves[1], "zones of one engine switch one after the other");
 }
 
 #[test]
-fn the_second_wave_closes_when_the_first_should_be_back() {
+fn the_second_wave_closes_when_the_first_should_serve_again() {
     let (first, second) = (Changeover::of_wave(0), Changeover::of_wave(1));
     assert!(second.close_after() > first.abort_after());
     assert!(second.abort_after() > second.close_after());
--- a/tests/testsuite/gateway/cold.rs
+++ b/tests/testsuite/gateway/cold.rs
@@ -1,4 +1,4 @@
-//! What a cold endpoint receives of all gateways together.
+//! The limit of requests from all gateways together to a cold endpoint.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     (0..gateways).map(|number| Key::of_address(address(number))).collect()
 }
 
-/// The shares of all gateways for an endpoint, each of which knows all others.
+/// The shares of all gateways for an endpoint; each gateway knows all others.
 fn shares(bound: Bound, gateways: u16, endpoint: &str) -> Vec<usize> {
     let keys = keys(gateways);
     let share = |own: &Key| {
@@ -26,7 +26,7 @@
     keys.iter().map(share).collect()
 }
 
-// Guards against gateways that together send more than a cold endpoint bears.
+// Guards against gateways that together send more than a cold endpoint can handle.
 #[parameterized(one = { 1 }, few = { 9 }, as_many_as_the_bound = { 26 }, many = { 60 }, hundreds = { 546 })]
 fn the_shares_of_all_gateways_are_within_the_bound(gateways: u16) {
     let bound = Options { overage: 1.5, slack: 5.0 }.bound(14.0);
@@ -37,9 +37,9 @@
     }
 }
 
-// Guards against the same few gateways having all shares of every endpoint.
+// Guards against the same few gateways having the shares of every endpoint.
 #[test]
-fn where_not_every_gateway_has_a_share_others_have_those_of_other_endpoints() {
+fn with_fewer_shares_than_gateways_each_endpoint_gives_them_to_different_ones() {
     let with_share = |endpoint: &str| {
         let shares = shares(Bound(26.0), 200, endpoint);
         shares.iter().map(|share| *share > 0).collect::<Vec<_>>()
@@ -49,9 +49,9 @@
     assert!(both < 10, "{both} of 20 have a share of both");
 }
 
-// Guards against a flood of a zone that comes back: all gateways want to send there at once.
+// Guards against flooding a zone that recovers, when all gateways send there at once.
 #[test]
-fn a_zone_that_comes_back_receives_no_more_than_the_bound_in_any_second() {
+fn a_recovered_zone_receives_no_more_than_the_bound_in_any_second() {
     const GATEWAYS: u16 = 31;
     let shares = shares(Bound(26.0), GATEWAYS, "e1");
     let mut sends: Vec<Sends> = (0..GATEWAYS).map(|_| Sends::default()).collect();
--- a/tests/testsuite/gateway/demand.rs
+++ b/tests/testsuite/gateway/demand.rs
@@ -1,11 +1,11 @@
-//! How much is asked.
+//! The estimate of the arrival rate.
 
 use cinderspoke_core::gateway::demand::Demand;
 
 use super::ms;
 
 #[test]
-fn a_steady_rate_is_found_and_one_that_ends_forgotten() {
+fn the_estimate_reaches_a_steady_rate_and_decays_after_it_ends() {
     let mut demand = Demand::default();
     assert_eq!(demand.per_second(ms(0)), 0.0);
     (0..500).for_each(|number| demand.record_arrival(ms(20 * number)));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_burst_is_seen_within_a_second_or_two() {
+fn the_estimate_follows_a_burst_within_two_seconds() {
     let mut demand = Demand::default();
     (0..100).for_each(|number| demand.record_arrival(ms(100 * number)));
     (0..150).for_each(|number| demand.record_arrival(ms(10_000 + 10 * number)));
--- a/tests/testsuite/gateway/difference.rs
+++ b/tests/testsuite/gateway/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between configurations.
+//! Encoding and applying the difference between two configurations.
 
 use cinderspoke_core::gateway::catalog::{Catalog, Declared, Kind, Limits, Route, Share, Tenancy};
 use cinderspoke_core::gateway::difference::{ApplyError, Difference};
@@ -40,7 +40,7 @@
     }
 }
 
-/// How many bytes a difference takes.
+/// The encoded size of a difference in bytes.
 fn size(difference: &Difference) -> usize {
     postcard::to_stdvec(difference).unwrap().len()
 }
@@ -55,7 +55,7 @@
     twice = { &[1, 2, 2, 3, 1] },
     the_same = { &[1, 2, 3] },
 )]
-fn it_leads_to_the_very_same_configuration(after: &[u64]) {
+fn applying_a_difference_restores_the_configuration(after: &[u64]) {
     let before = Catalog::from(declared(1, [1, 2, 3]));
     let after = Catalog::from(declared(2, after.iter().copied()));
     let difference = Difference::between(&before, &after);
@@ -64,19 +64,19 @@
 }
 
 #[test]
-fn changed_routes_teams_and_limits_are_told() {
+fn changed_routes_teams_and_limits_are_included() {
     let before = Catalog::from(declared(1, 0..50));
     let mut after = declared(2, 0..50);
     after.routes[20].timeout = ms(9000);
     after.tenancies[0].keys.push("another".into());
     after.limits = Limits { idle: ms(1), ..Limits::default() };
     let after = Catalog::from(after);
-    let told = Difference::between(&before, &after).apply(&before).unwrap();
-    assert_eq!(told.declared(), after.declared());
-    assert_eq!(told.hash(), after.hash());
+    let applied = Difference::between(&before, &after).apply(&before).unwrap();
+    assert_eq!(applied.declared(), after.declared());
+    assert_eq!(applied.hash(), after.hash());
 }
 
-// Changes that come quickly have to find room on a link that all traffic shares.
+// Guards against frequent changes that fill a link which all traffic shares.
 #[test]
 fn a_change_of_one_route_among_thousands_takes_some_hundred_bytes() {
     let before = Catalog::from(declared(1, 0..5000));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn it_fits_the_configuration_by_which_it_is_told_only() {
+fn a_difference_applies_to_its_base_configuration_only() {
     let before = Catalog::from(declared(1, 0..5));
     let difference = Difference::between(&before, &declared(3, 1..9).into());
     let other = Catalog::from(declared(2, 0..5));
@@ -94,31 +94,31 @@
 }
 
 #[test]
-fn a_damaged_one_is_refused() {
+fn a_damaged_difference_is_refused() {
     let before = Catalog::from(declared(1, 0..5));
     let whole = Difference::between(&before, &declared(3, 1..9).into());
     let packed = postcard::to_stdvec(&whole).unwrap();
-    for place in 0..packed.len() {
+    for position in 0..packed.len() {
         let mut damaged = packed.clone();
-        damaged[place] ^= 1;
+        damaged[position] ^= 1;
         let Ok(damaged) = postcard::from_bytes::<Difference>(&damaged) else { continue };
         if damaged != whole {
-            assert!(damaged.apply(&before).is_err(), "byte {place}");
+            assert!(damaged.apply(&before).is_err(), "byte {position}");
         }
     }
 }
 
 #[test]
-fn any_two_configurations_differ_by_what_leads_from_one_to_the_other() {
-    let mut draws = StdRng::seed_from_u64(33);
+fn differences_between_random_configurations_apply() {
+    let mut rng = StdRng::seed_from_u64(33);
     for version in 0..300 {
-        let mut draw = || -> Vec<u64> {
-            let length = draws.random_range(0..40);
-            (0..length).map(|_| draws.random_range(0..30)).collect()
+        let mut random_routes = || -> Vec<u64> {
+            let length = rng.random_range(0..40);
+            (0..length).map(|_| rng.random_range(0..30)).collect()
         };
-        let before = Catalog::from(declared(version, draw()));
-        let after = Catalog::from(declared(version + 1, draw()));
-        let told = Difference::between(&before, &after).apply(&before).unwrap();
-        assert_eq!(told.declared(), after.declared());
+        let before = Catalog::from(declared(version, random_routes()));
+        let after = Catalog::from(declared(version + 1, random_routes()));
+        let applied = Difference::between(&before, &after).apply(&before).unwrap();
+        assert_eq!(applied.declared(), after.declared());
     }
 }
--- a/tests/testsuite/gateway/evacuation.rs
+++ b/tests/testsuite/gateway/evacuation.rs
@@ -1,4 +1,4 @@
-//! Which availability zones are emptied, whoever told it.
+//! The set of evacuated availability zones, whichever process it comes from.
 
 use std::collections::BTreeSet;
 
@@ -6,25 +6,25 @@
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::name::Zone;
 
-fn told(revision: u64, zones: &[&str]) -> Fact<BTreeSet<Zone>> {
+fn evacuated(revision: u64, zones: &[&str]) -> Fact<BTreeSet<Zone>> {
     Fact::new(Revision(revision), zones.iter().map(|zone| Zone::from(*zone)).collect())
 }
 
-// Guards against a zone that is used again since an older word came late.
+// Guards against using an evacuated zone again because an older set arrives late.
 #[test]
-fn an_older_word_does_not_take_an_evacuation_back() {
+fn an_older_set_does_not_undo_an_evacuation() {
     let mut table = Table::default();
-    assert!(table.replace(told(5, &["a"])));
-    assert!(!table.replace(told(4, &[])));
+    assert!(table.replace(evacuated(5, &["a"])));
+    assert!(!table.replace(evacuated(4, &[])));
     assert!(table.is_evacuated(&"a".into()));
     assert!(!table.is_evacuated(&"b".into()));
 }
 
-// Guards against changes that are lost between a list and the watch that follows it.
+// Guards against losing changes between a list and the watch that follows it.
 #[test]
-fn changes_apply_on_top_of_what_is_known() {
+fn changes_apply_on_top_of_the_known_set() {
     let mut table = Table::default();
-    table.replace(told(5, &["a"]));
+    table.replace(evacuated(5, &["a"]));
     assert!(table.apply(Revision(6), vec![Change::Evacuated("b".into())]));
     assert!(table.is_evacuated(&"a".into()) && table.is_evacuated(&"b".into()));
     assert!(table.apply(Revision(7), vec![Change::Reopened("a".into())]));
@@ -33,11 +33,11 @@
     assert_eq!(table.known().unwrap().revision, Revision(9));
 }
 
-// Guards against a gateway that takes an empty set for one that is not known.
+// Guards against a gateway that takes an empty set for an unknown one.
 #[test]
-fn that_no_zone_is_emptied_is_a_word_of_its_own() {
+fn an_empty_set_is_known() {
     let mut table = Table::default();
     assert!(table.known().is_none());
-    assert!(table.replace(told(0, &[])));
+    assert!(table.replace(evacuated(0, &[])));
     assert!(table.known().is_some());
 }
--- a/tests/testsuite/gateway/event.rs
+++ b/tests/testsuite/gateway/event.rs
@@ -1,4 +1,4 @@
-//! Cutting streams into whole events.
+//! Splitting streams into whole events.
 
 use cinderspoke_core::gateway::event::Splitter;
 use rand::{Rng, SeedableRng};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_event_that_breaks_off_is_not_passed_on() {
+fn an_incomplete_event_is_not_passed_on() {
     let mut splitter = Splitter::default();
     let whole = splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n").unwrap().unwrap();
     assert_eq!(whole.bytes, b"id: 1\ndata: a\n\n");
--- a/tests/testsuite/gateway/listing.rs
+++ b/tests/testsuite/gateway/listing.rs
@@ -1,10 +1,10 @@
-//! Whom agents ask for a version's listing.
+//! The sources from which agents fetch a version's listing.
 
 use cinderspoke_core::gateway::listing::{Source, Tree};
 use cinderspoke_core::rendezvous::Key;
 use cinderspoke_schema::control::Peer;
 
-/// Agents named by numbers, so many in each zone.
+/// Agents with numbers as names, `each` in every zone.
 fn agents(zones: &[&str], each: usize) -> Vec<Peer> {
     let all = zones.iter().flat_map(|zone| (0..each).map(move |number| (*zone, number)));
     let peer = |(zone, number): (&str, usize)| Peer {
@@ -17,30 +17,30 @@
 }
 
 #[test]
-fn one_agent_of_each_zone_asks_the_origin_for_a_listing_at_first() {
+fn one_agent_of_each_zone_fetches_from_the_origin_at_first() {
     let agents = agents(&["a", "b", "c"], 25);
-    let asks = agents.iter().map(|own| Tree::new(Key::of("m 2"), own, &agents));
-    let roots = asks.filter(|tree| tree.source(0) == Source::Origin).count();
+    let trees = agents.iter().map(|own| Tree::new(Key::of("m 2"), own, &agents));
+    let roots = trees.filter(|tree| tree.source(0) == Source::Origin).count();
     assert_eq!(roots, 3);
 }
 
 #[test]
-fn every_agent_asks_the_origin_and_all_others_in_the_end() {
+fn every_agent_tries_the_origin_and_all_others_in_the_end() {
     let agents = agents(&["a", "b"], 20);
     for own in &agents {
         let tree = Tree::new(Key::of("m 2"), own, &agents);
-        let asked: Vec<_> = (0..200).map(|attempt| tree.source(attempt)).collect();
-        let origin = asked.iter().position(|ask| *ask == Source::Origin).unwrap();
-        assert!(origin <= 10, "{} asks the origin only after {origin} attempts", own.instance);
+        let sources: Vec<_> = (0..200).map(|attempt| tree.source(attempt)).collect();
+        let origin = sources.iter().position(|source| *source == Source::Origin).unwrap();
+        assert!(origin <= 10, "{} tries the origin only after {origin} attempts", own.instance);
         for other in agents.iter().filter(|other| other.instance != own.instance) {
-            assert!(asked.contains(&Source::Peer(other)), "never asks {}", other.instance);
+            assert!(sources.contains(&Source::Peer(other)), "never tries {}", other.instance);
         }
-        assert!(!asked.contains(&Source::Peer(own)));
+        assert!(!sources.contains(&Source::Peer(own)));
     }
 }
 
 #[test]
-fn an_agent_alone_asks_the_origin() {
+fn a_single_agent_fetches_from_the_origin() {
     let agents = agents(&["a"], 1);
     let tree = Tree::new(Key::of("m 2"), &agents[0], &[]);
     assert!((0..9).all(|attempt| tree.source(attempt) == Source::Origin));
--- a/tests/testsuite/gateway/mod.rs
+++ b/tests/testsuite/gateway/mod.rs
@@ -1,6 +1,6 @@
-//! The decisions of a gateway, each against what would break a promise.
+//! Tests of the decisions of a gateway.
 //!
-//! Each module tests the one of the same name in the core.
+//! Each module tests the module of the same name in the core.
 
 mod attempt;
 mod budget;
--- a/tests/testsuite/gateway/residency.rs
+++ b/tests/testsuite/gateway/residency.rs
@@ -1,4 +1,4 @@
-//! In which regions a request may be served.
+//! The regions in which a request may be served.
 
 use cinderspoke_core::gateway::name::Region;
 use cinderspoke_core::gateway::residency::{AllowedRegions, Residency};
@@ -12,7 +12,7 @@
     [allowed_regions(route), allowed_regions(team)].into_iter().collect()
 }
 
-// Guards against a request that is served where its route or its team does not allow it.
+// Guards against serving a request where its route or its team does not allow it.
 #[parameterized(
     none = { &[], &[], &["n", "s", ""] },
     route = { &["n"], &[], &["n"] },
@@ -20,7 +20,7 @@
     both = { &["n", "s"], &["s", "c"], &["s"] },
     apart = { &["n"], &["s"], &[] },
 )]
-fn route_and_team_both_bind(route: &[&str], team: &[&str], allowed: &[&str]) {
+fn the_limits_of_route_and_team_both_apply(route: &[&str], team: &[&str], allowed: &[&str]) {
     let residency = residency(route, team);
     let regions = ["n", "s", "c", ""].map(Region::from);
     for region in &regions {
@@ -29,9 +29,10 @@
     }
 }
 
-// Guards against a request that was read before a configuration narrows its allowed regions.
+// Guards against serving a request outside its allowed regions when a newer configuration narrows
+// them after the request was parsed.
 #[test]
-fn a_newer_configuration_narrows_what_is_not_sent_yet() {
+fn a_newer_configuration_limits_requests_that_are_not_sent_yet() {
     let narrowed = residency(&["n", "s"], &[]).and(residency(&["s"], &[]));
     assert!(narrowed.allows(&"s".into()));
     assert!(!narrowed.allows(&"n".into()));
