--- a/src/cinderspoke/gateway/answer.rs
+++ b/src/cinderspoke/gateway/answer.rs
@@ -90,7 +90,7 @@
     let (head, mut stream) = EventStream::new(answer);
     if let Err(interrupted) = stream.wait_first(until).await {
         stream.target().observe(Observation::Silence, context.clock.now());
-        return Attempt::Failed(interrupted.fate(), None);
+        return Attempt::Failed(interrupted.outcome(), None);
     }
     stream.started();
     stream.target().observe(Observation::Good, context.clock.now());
--- a/src/cinderspoke/gateway/crash.rs
+++ b/src/cinderspoke/gateway/crash.rs
@@ -1,4 +1,4 @@
-//! Telling endpoints that ended under a request from connections that broke off.
+//! Distinguishes an endpoint that crashed while it ran a request from a broken connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::target::Target;
 
 impl Parsed {
-    /// What is the same in all attempts at this request.
+    /// Returns the fingerprint, which is the same for all attempts of the request.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| self.to_fingerprint())
@@ -24,39 +24,40 @@
             method: self.head.method.as_str(),
             host: &self.call.host,
             path: self.head.uri.path_and_query().map_or("/", |path| path.as_str()),
-            // A team may have another key by the next attempt.
+            // A team's key may change before the next attempt.
             caller: self.team.as_ref().map_or(key, |team| team.as_str()),
             body: &self.body,
         })
     }
 }
 
-/// How often an endpoint is tried that does not answer at all, 0.4 s each: packets are lost
-/// on the way, and one that has ended takes seconds to be back.
-const TRIES: u32 = 3;
+/// Number of connection attempts to an endpoint that does not respond, 0.4 s each: packets may
+/// be lost, and a crashed endpoint takes seconds to restart.
+const CONNECT_ATTEMPTS: u32 = 3;
 
-/// A send whose connection broke off before the answer was whole.
-struct Broken {
+/// An attempt whose connection broke off before the answer was complete.
+struct BrokenAttempt {
     context: Arc<Context>,
     target: Arc<Target>,
     request: Request,
     fingerprint: Fingerprint,
-    // When it was sent and broke off, by the gateway's clock.
+    // When the request was sent and the connection broke off, by the gateway's clock.
     sent: Duration,
     broke: Duration,
 }
 
-/// Finds out whether an endpoint has ended under a request whose connection broke off.
+/// Finds out whether an endpoint crashed when the connection of a request broke off.
 ///
-/// Apart from the request, which may go on at another endpoint meanwhile; only one that
-/// is suspected already waits, so that it ends no endpoint more than it has to.
+/// Runs in a task of its own, while the request may be retried at another endpoint. Only a
+/// request that is a suspect already waits for the result, so that it crashes no more endpoints
+/// than necessary.
 pub async fn investigate(
     context: &Arc<Context>,
     parsed: &Parsed,
     target: &Arc<Target>,
     sent: Duration,
 ) {
-    let broken = Broken {
+    let broken = BrokenAttempt {
         context: Arc::clone(context),
         target: Arc::clone(target),
         request: parsed.call.id.clone(),
@@ -65,20 +66,20 @@
         broke: context.clock.now(),
     };
     let is_suspected = context.state.suspects().is_suspected(broken.fingerprint);
-    let looking = tokio::spawn(async move {
-        if broken.has_ended().await {
-            broken.ended();
+    let investigation = tokio::spawn(async move {
+        if broken.has_crashed().await {
+            broken.record_crash();
         }
     });
-    if is_suspected && let Err(error) = looking.await {
+    if is_suspected && let Err(error) = investigation.await {
         tracing::error!(%error, "looking for the end of an endpoint");
     }
 }
 
-impl Broken {
-    /// Whether the endpoint refuses connections now.
-    async fn has_ended(&self) -> bool {
-        for _ in 0..TRIES {
+impl BrokenAttempt {
+    /// Returns whether the endpoint refuses connections now.
+    async fn has_crashed(&self) -> bool {
+        for _ in 0..CONNECT_ATTEMPTS {
             if let Some(refused) = self.target.pool.refuses_connections().await {
                 return refused;
             }
@@ -86,8 +87,8 @@
         false
     }
 
-    /// Takes in that the endpoint has ended.
-    fn ended(&self) {
+    /// Records that the endpoint crashed.
+    fn record_crash(&self) {
         let crash = Crash {
             id: rand::random(),
             endpoint: self.target.name.clone(),
--- a/src/cinderspoke/gateway/head.rs
+++ b/src/cinderspoke/gateway/head.rs
@@ -1,9 +1,9 @@
-//! How long the head of a request may take to come on a caller's connection.
+//! Timeout for receiving the head of a request on a caller's connection.
 //!
-//! The library bounds heads and rest by one time, counted from the end of the last
-//! answer, and connections may rest for long. Without a bound of their own, slow heads
-//! would hold connections, and the descriptors of an instance with them, for as long.
-//! A head that begins while an answer is still on its way is left to the longer time.
+//! hyper has one timeout for receiving a head and for an idle connection, counted from the end
+//! of the last response, and the idle timeout is long. Without a timeout of their own, slow heads
+//! would hold connections, and file descriptors of the instance, for that long. A head that
+//! begins while a response is still being written has the longer timeout.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -17,30 +17,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Whether a connection has a request in progress whose head has come.
+/// Whether a connection has a request in progress whose head has been received.
 #[derive(Debug, Clone, Default)]
 pub struct Progress(Arc<AtomicBool>);
 
 impl Progress {
-    /// Takes in that a head has come whole.
+    /// Records that a whole head has been received.
     pub fn start(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a request is in progress.
+    /// Returns whether a request is in progress.
     fn is_active(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// An answer; when it is dropped, the connection's request is no longer in progress.
+/// The body of a response; dropping it ends the connection's request in progress.
 pub struct AnswerBody<B> {
     body: B,
     progress: Progress,
 }
 
 impl<B> AnswerBody<B> {
-    /// The body of the answer to a connection's request.
+    /// Wraps the body of the response to the connection's request in progress.
     pub fn new(body: B, progress: Progress) -> Self {
         Self { body, progress }
     }
@@ -72,26 +72,26 @@
     }
 }
 
-/// A caller's connection, which fails where a head is not whole in time.
+/// A caller's connection; reading fails if a head is not received within the timeout.
 #[derive(Debug)]
 pub struct Stream {
     stream: TcpStream,
     progress: Progress,
     limit: Duration,
-    // When the first byte of a head came that is not whole yet.
+    // When the first byte of a head was received that is not complete yet.
     began: Option<Instant>,
-    // Wakes the connection when the time is up; only there while more is waited for.
+    // Wakes the connection at the timeout; present only while a read is pending.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Stream {
-    /// A connection whose heads may take so long.
+    /// Wraps a connection; `limit` is the timeout of each head.
     #[must_use]
     pub fn new(stream: TcpStream, progress: Progress, limit: Duration) -> Self {
         Self { stream, progress, limit, began: None, timer: None }
     }
 
-    /// Fails once the head that has begun is late.
+    /// Returns an error once the timeout of the head being received has passed.
     fn wait(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let Some(began) = self.began else { return Poll::Pending };
         let end = began + self.limit;
@@ -112,7 +112,8 @@
             return Pin::new(&mut self.stream).poll_read(context, buffer);
         }
         let filled = buffer.filled().len();
-        // What is there is read also when it is late: the process may have stood still.
+        // Bytes that have arrived are read even after the timeout: the process may have been
+        // paused meanwhile.
         let Poll::Ready(read) = Pin::new(&mut self.stream).poll_read(context, buffer) else {
             return self.wait(context);
         };
--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -1,4 +1,4 @@
-//! Telling agents what this gateway has outstanding at their engines.
+//! Publishes the number of this gateway's outstanding requests to the agents of the endpoints.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,11 +13,12 @@
 use super::state::State;
 use super::target::Target;
 
-/// How long changes gather before they are told: the news is of use for choices some
-/// tens of milliseconds apart, and several changes go in one datagram.
-const GATHER: Duration = Duration::from_millis(10);
+/// How long changes are collected before they are published: choices that use them are tens
+/// of milliseconds apart, and one datagram carries several changes.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Endpoints at which something has changed that their agents were not told.
+/// Endpoints whose outstanding requests or reservations changed since their agents were last
+/// sent them.
 #[derive(Debug, Default)]
 pub struct Changes {
     targets: Mutex<Vec<Arc<Target>>>,
@@ -29,7 +30,7 @@
         self.targets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in that something has changed at an endpoint.
+    /// Records that the outstanding requests or reservations at an endpoint changed.
     pub fn add(&self, target: &Arc<Target>) {
         let mut targets = self.lock();
         if !targets.iter().any(|known| Arc::ptr_eq(known, target)) {
@@ -44,13 +45,14 @@
     }
 }
 
-/// Tells agents of changes soon, and from time to time of what stays.
+/// Publishes changes after [`BATCH_DELAY`], and at each [`REPEAT`] the state of all endpoints
+/// that have outstanding requests.
 pub async fn publish(state: &State, socket: &UdpSocket, own: SocketAddr) {
     let changes = state.outstanding_changes();
     let mut repeat = Instant::now() + REPEAT_INTERVAL;
     loop {
         if timeout_at(repeat, changes.added.notified()).await.is_ok() {
-            sleep(GATHER).await;
+            sleep(BATCH_DELAY).await;
         } else {
             repeat = Instant::now() + REPEAT_INTERVAL;
             state.targets().iter().filter(|target| target.has_outstanding()).for_each(|target| {
@@ -63,7 +65,7 @@
     }
 }
 
-/// Tells an endpoint's agent, if it has one.
+/// Sends an endpoint's outstanding requests to its agent, if the agent is known.
 async fn send_count(target: &Target, state: &State, socket: &UdpSocket, own: SocketAddr) {
     let sent = state.clock().now();
     let (agent, outstanding, decided_before) = {
--- a/src/cinderspoke/gateway/passthrough.rs
+++ b/src/cinderspoke/gateway/passthrough.rs
@@ -138,7 +138,7 @@
     async fn resume(&mut self, interrupted: Interrupted) {
         let Some(stream) = self.stream.take() else { return };
         stream.target().observe(Observation::Silence, self.context.clock.now());
-        self.record.attempt_failed(&stream.target().name, interrupted.fate());
+        self.record.attempt_failed(&stream.target().name, interrupted.outcome());
         if interrupted == Interrupted::BrokenOff {
             crash::investigate(&self.context, &self.parsed, stream.target(), stream.sent_at())
                 .await;
--- a/src/cinderspoke/gateway/pool.rs
+++ b/src/cinderspoke/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one endpoint, each for one request at a time.
+//! A pool of HTTP/1.1 connections to one endpoint, each used by one request at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,35 +16,35 @@
 use super::socket::Socket;
 use crate::util::clock::{NOTICED, suspended};
 
-/// How long connecting may take: some round trips on a link that is not harmed.
-const CONNECT: Duration = Duration::from_millis(400);
+/// Timeout of connecting: a few round trips on a healthy link.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// After how long without an acknowledgement a connection is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2000);
+/// Time without a TCP acknowledgement after which a connection is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// How long a connection may rest when the endpoint does not say.
-const REST: Duration = Duration::from_secs(4);
+/// Idle timeout of a connection if the endpoint names none; also the maximum.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The part of the time that an endpoint gives after which a connection is not
-/// used again: a request and the endpoint's close must not cross.
-const REST_PART: f64 = 0.6;
+/// Fraction of the endpoint's idle timeout after which a connection is not reused, so that a
+/// request does not cross the endpoint's close.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// For how long it counts that an endpoint refused a new connection, or took it: all
-/// connections of one that ends break off within some milliseconds.
-const FRESH: Duration = Duration::from_millis(200);
+/// How long the result of a check whether an endpoint refuses connections is reused: all
+/// connections of an endpoint that crashes break off within some milliseconds.
+const REFUSAL_TTL: Duration = Duration::from_millis(200);
 
-/// The most connections that rest.
-const MOST_RESTING: usize = 32;
+/// Maximum number of idle connections.
+const MAX_IDLE: usize = 32;
 
 /// A connection that can carry a request.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// A connection that may be used until a time.
+/// An idle connection that may be reused until a time.
 #[derive(Debug)]
-struct Resting {
+struct Idle {
     connection: Connection,
     until: Instant,
-    // How long the machine had been suspended when it began to rest.
+    // How long the machine had been suspended in total when the connection became idle.
     suspended: Duration,
 }
 
@@ -53,86 +53,91 @@
 pub struct Checkout {
     /// The connection.
     pub connection: Connection,
-    /// Whether it has carried a request before: it may have gone silent since.
+    /// Whether it has carried a request before: the peer may have become unreachable since.
     pub reused: bool,
 }
 
-/// The most bytes of an answer that are held unread: what its caller does not read stays at its
-/// endpoint. A thousand connections hold a third of the memory of the least instance.
-const MOST_UNREAD: usize = 32 << 10;
+/// Maximum number of unread bytes of an answer that a connection buffers; the endpoint keeps
+/// what the caller has not read. A thousand connections hold a third of the memory of the
+/// smallest instance.
+const MAX_READ_BUFFER: usize = 32 << 10;
 
-/// The connections to an endpoint.
+/// The pool of connections to an endpoint.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
-    resting: Mutex<Vec<Resting>>,
-    // When it was last tried whether connections are refused, and whether they were.
+    idle: Mutex<Vec<Idle>>,
+    // When it was last checked whether connections are refused, and the result.
     refusal: AsyncMutex<Option<(Instant, bool)>>,
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, resting: Mutex::default(), refusal: AsyncMutex::default() }
+        Self { address, idle: Mutex::default(), refusal: AsyncMutex::default() }
     }
 
-    /// Where the endpoint answers.
+    /// Returns the endpoint's address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Resting>> {
-        self.resting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Idle>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A connection that rested, the newest first, or a new one.
+    /// Returns the most recently used idle connection, or a new one if none is idle.
     ///
     /// # Errors
     ///
-    /// When the endpoint cannot be reached; nothing was sent then.
+    /// If the endpoint cannot be reached; nothing was sent then.
     pub async fn checkout(&self) -> Result<Checkout> {
-        if let Some(connection) = self.rested() {
+        if let Some(connection) = self.pop_idle() {
             return Ok(Checkout { connection, reused: true });
         }
-        let connected = timeout(CONNECT, connect(self.address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, connect(self.address)).await;
         let connection = connected.context("connecting took too long")??;
         Ok(Checkout { connection, reused: false })
     }
 
-    /// The newest of the connections that can carry a request.
-    fn rested(&self) -> Option<Connection> {
+    /// Removes and returns the most recently used idle connection that can carry a request.
+    fn pop_idle(&self) -> Option<Connection> {
         let now = Instant::now();
-        let mut resting = self.lock();
-        // One that has rested through a suspension has done so for longer than it seems.
+        let mut idle = self.lock();
+        // A connection that was idle during a suspension was idle for longer than the clock shows.
         let suspended = suspended();
-        resting.retain(|resting| {
-            let slept = suspended.saturating_sub(resting.suspended) > NOTICED;
-            now < resting.until && !slept && !resting.connection.is_closed()
+        idle.retain(|entry| {
+            let slept = suspended.saturating_sub(entry.suspended) > NOTICED;
+            now < entry.until && !slept && !entry.connection.is_closed()
         });
-        let ready = resting.iter().rposition(|resting| resting.connection.is_ready())?;
-        Some(resting.remove(ready).connection)
+        let ready = idle.iter().rposition(|entry| entry.connection.is_ready())?;
+        Some(idle.remove(ready).connection)
     }
 
-    /// Keeps a connection whose request and answer have both ended.
-    pub fn check_in(&self, connection: Connection, rest: Option<Duration>) {
-        let rest = rest.map_or(REST, |rest| rest.mul_f64(REST_PART).min(REST));
-        let mut resting = self.lock();
-        if resting.len() < MOST_RESTING && !connection.is_closed() {
-            let (until, suspended) = (Instant::now() + rest, suspended());
-            resting.push(Resting { connection, until, suspended });
+    /// Returns a connection to the pool after its request and answer have ended.
+    ///
+    /// `idle_timeout` is what the endpoint said, if it did.
+    pub fn check_in(&self, connection: Connection, idle_timeout: Option<Duration>) {
+        let idle_timeout = idle_timeout.map_or(IDLE_TIMEOUT, |timeout| {
+            timeout.mul_f64(IDLE_TIMEOUT_FRACTION).min(IDLE_TIMEOUT)
+        });
+        let mut idle = self.lock();
+        if idle.len() < MAX_IDLE && !connection.is_closed() {
+            let (until, suspended) = (Instant::now() + idle_timeout, suspended());
+            idle.push(Idle { connection, until, suspended });
         }
     }
 
-    /// Whether the endpoint refuses connections, as one that has ended does; none where
-    /// nothing came back in time. All who ask at about the same time share one try.
+    /// Returns whether the endpoint refuses connections, as a crashed endpoint does; `None` if it
+    /// did not respond in time. Callers within [`REFUSAL_TTL`] share one check.
     pub async fn refuses_connections(&self) -> Option<bool> {
         let mut refusal = self.refusal.lock().await;
-        if let Some((_, refused)) = refusal.filter(|(tried, _)| tried.elapsed() < FRESH) {
+        if let Some((_, refused)) = refusal.filter(|(tried, _)| tried.elapsed() < REFUSAL_TTL) {
             return Some(refused);
         }
-        let refused = match timeout(CONNECT, connect(self.address)).await {
+        let refused = match timeout(CONNECT_TIMEOUT, connect(self.address)).await {
             Ok(Ok(connection)) => {
                 self.check_in(connection, None);
                 false
@@ -146,19 +151,19 @@
         Some(refused)
     }
 
-    /// Closes all connections that rest.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         self.lock().clear();
     }
 }
 
-/// Opens a connection, and has it carried by a task of its own.
+/// Opens a connection and spawns the task that drives it.
 async fn connect(address: SocketAddr) -> Result<Connection> {
-    let socket = Socket::open(address, UNACKNOWLEDGED).await?;
+    let socket = Socket::open(address, TCP_USER_TIMEOUT).await?;
     let (sender, connection) =
-        http1::Builder::new().max_buf_size(MOST_UNREAD).handshake(TokioIo::new(socket)).await?;
+        http1::Builder::new().max_buf_size(MAX_READ_BUFFER).handshake(TokioIo::new(socket)).await?;
     tokio::spawn(async move {
-        // Whoever uses the connection learns of its end by its own request.
+        // The request that uses the connection gets an error of its own.
         if let Err(error) = connection.await {
             tracing::debug!(%address, %error, "connection to an endpoint ended");
         }
--- a/src/cinderspoke/gateway/quarantine.rs
+++ b/src/cinderspoke/gateway/quarantine.rs
@@ -1,8 +1,9 @@
-//! Keeping in the store which requests are held back.
+//! Synchronizes the set of quarantined requests with the platform's store.
 //!
-//! Gateways tell each other, but what they know ends with the last of them, and one that
-//! is cut off from all others hears of nothing while the store may still answer it. Those who
-//! read for their region look when they begin to; the others have it from them.
+//! Gateways send the set to each other, but it is lost when the last of them ends, and a gateway
+//! that is partitioned from all others receives nothing while the store may still answer it.
+//! Gateways that read for their region read the store when they take that role; the others get
+//! the set from them.
 
 use std::collections::BTreeMap;
 use std::pin::pin;
@@ -18,100 +19,106 @@
 use super::follow::reads_or_is_alone;
 use super::state::State;
 
-/// How long after a failure the store is asked again.
+/// Delay after a failed call to the store before it is retried.
 const BACKOFF: Duration = Duration::from_millis(700);
 
-/// The least time between two looks into the store: each costs, and endpoints may end in
-/// numbers for another reason.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+/// Minimum interval between reads of the store: each read has a cost, and many endpoints may
+/// end at once for another reason.
+const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The most requests that the store keeps: those that nobody sends any more are released
-/// by nobody, and the oldest of them make way.
-const MOST_KEPT: usize = 64;
+/// Maximum number of quarantined requests in the store. Nothing releases a request that is no
+/// longer sent, so the oldest are removed.
+const MAX_STORED: usize = 64;
 
-/// What the store is to be told or asked.
+/// Pending writes to the store, and whether it is to be read.
 #[derive(Debug, Default)]
 pub struct Pending {
-    due: Mutex<Orders>,
+    pending: Mutex<Calls>,
     added: Notify,
 }
 
 #[derive(Debug, Default)]
-struct Orders {
-    // Whether each request is held back.
-    holds: BTreeMap<Fingerprint, bool>,
-    look: bool,
+struct Calls {
+    // Whether each request is quarantined.
+    writes: BTreeMap<Fingerprint, bool>,
+    read: bool,
 }
 
 impl Pending {
-    fn lock(&self) -> MutexGuard<'_, Orders> {
-        self.due.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Calls> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has the store told whether a request is held back.
-    pub fn set(&self, request: Fingerprint, held: bool) {
-        self.lock().holds.insert(request, held);
+    /// Schedules a write of whether a request is quarantined.
+    pub fn set(&self, request: Fingerprint, quarantined: bool) {
+        self.lock().writes.insert(request, quarantined);
         self.added.notify_one();
     }
 
-    /// Has the store asked what is held back, soon.
+    /// Schedules a read of the quarantined requests.
     pub fn request_read(&self) {
-        self.lock().look = true;
+        self.lock().read = true;
         self.added.notify_one();
     }
 
-    fn take(&self) -> Orders {
+    fn take(&self) -> Calls {
         std::mem::take(&mut *self.lock())
     }
 }
 
-/// Learns from the store what is held back, and tells it, whatever fails.
+/// Reads quarantined requests from the store and writes pending changes to it; retries after
+/// failures and never returns.
 pub async fn synchronize(state: Arc<State>, store: Arc<dyn Holds>) {
-    let due = state.suspects().pending();
-    let mut look_at = None;
-    let mut looked = Instant::now();
-    let mut first = pin!(reads_or_is_alone(&state));
-    let mut is_first = true;
+    let pending = state.suspects().pending();
+    let mut read_at = None;
+    let mut last_read = Instant::now();
+    let mut reader = pin!(reads_or_is_alone(&state));
+    let mut is_waiting = true;
     loop {
-        let next_look = look_at.unwrap_or_else(Instant::now);
+        let next_read = read_at.unwrap_or_else(Instant::now);
         tokio::select! {
-            () = due.added.notified() => {}
-            () = &mut first, if is_first => (look_at, is_first) = (Some(Instant::now()), false),
-            () = sleep_until(next_look), if look_at.is_some() => {
-                look_at = look(&state, &*store).await;
-                looked = Instant::now();
+            () = pending.added.notified() => {}
+            () = &mut reader, if is_waiting => (read_at, is_waiting) = (Some(Instant::now()), false),
+            () = sleep_until(next_read), if read_at.is_some() => {
+                read_at = read_or_retry(&state, &*store).await;
+                last_read = Instant::now();
             }
         }
-        let Orders { holds, look } = due.take();
-        if look {
-            look_at = look_at.or(Some(looked + LOOK_PAUSE));
+        let Calls { writes, read } = pending.take();
+        if read {
+            read_at = read_at.or(Some(last_read + READ_INTERVAL));
         }
-        for (request, held) in holds {
-            if let Err(error) = tell(&*store, request, held).await {
-                tracing::info!(%request, held, %error, "the store was not told what is held back");
+        for (request, quarantined) in writes {
+            if let Err(error) = write(&*store, request, quarantined).await {
+                tracing::info!(
+                    %request,
+                    held = quarantined,
+                    %error,
+                    "the store was not told what is held back"
+                );
                 sleep(BACKOFF).await;
-                due.lock().holds.entry(request).or_insert(held);
-                due.added.notify_one();
+                pending.lock().writes.entry(request).or_insert(quarantined);
+                pending.added.notify_one();
             }
         }
     }
 }
 
-/// Looks into the store; gives when to look again, if it did not answer.
-async fn look(state: &State, store: &dyn Holds) -> Option<Instant> {
-    let error = learn(state, store).await.err()?;
+/// Reads the store; returns when to retry if the read failed.
+async fn read_or_retry(state: &State, store: &dyn Holds) -> Option<Instant> {
+    let error = read(state, store).await.err()?;
     tracing::info!(%error, "the store did not say what is held back");
     Some(Instant::now() + BACKOFF)
 }
 
-async fn tell(store: &dyn Holds, request: Fingerprint, held: bool) -> Result<(), Error> {
-    if held { store.hold(request).await } else { store.release(request).await }
+async fn write(store: &dyn Holds, request: Fingerprint, quarantined: bool) -> Result<(), Error> {
+    if quarantined { store.hold(request).await } else { store.release(request).await }
 }
 
-/// Learns what is held back, and has the store keep no more than the newest of it.
-async fn learn(state: &State, store: &dyn Holds) -> Result<(), Error> {
-    let held = store.held().await?;
-    let (old, kept) = held.split_at(held.len().saturating_sub(MOST_KEPT));
+/// Reads the quarantined requests and removes all but the newest [`MAX_STORED`] from the store.
+async fn read(state: &State, store: &dyn Holds) -> Result<(), Error> {
+    let stored = store.held().await?;
+    let (old, kept) = stored.split_at(stored.len().saturating_sub(MAX_STORED));
     state.apply_stored_quarantine(kept);
     for request in old {
         store.release(*request).await?;
--- a/src/cinderspoke/gateway/query.rs
+++ b/src/cinderspoke/gateway/query.rs
@@ -1,4 +1,4 @@
-//! Asking agents what their engines hold, and keeping count of what they answer.
+//! Queries to agents for a reservation at their engines, and waiting for the answers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,21 +15,21 @@
 use super::target::Target;
 use crate::util::clock::Clock;
 
-/// How long answers are waited for: some times the way to another region and back. What
-/// comes later tells of a full link or a busy instance.
-const PATIENCE: Duration = Duration::from_millis(25);
+/// Timeout of a query: a few round trips to another region. A later answer indicates a
+/// congested link or a busy instance.
+const TIMEOUT: Duration = Duration::from_millis(25);
 
-/// Questions to agents that are waited for.
+/// Queries to agents whose answers are awaited.
 #[derive(Debug, Default)]
 pub struct Queries {
-    // Where agents answer to, and what is sent over; none before it is known.
+    // The address that agents answer to, and the socket to send from; unset until `attach`.
     socket: OnceLock<(SocketAddr, Arc<UdpSocket>)>,
-    // How each question's answers reach those who wait for them, by its number.
+    // The channel that delivers the answers of each query, by its number.
     waiting: Mutex<HashMap<u64, mpsc::UnboundedSender<()>>>,
     numbers: AtomicU64,
 }
 
-/// A question to some agents; it is forgotten when it is dropped.
+/// A query to some agents; dropping it stops the delivery of answers.
 struct Query<'a> {
     queries: &'a Queries,
     number: u64,
@@ -43,7 +43,7 @@
 }
 
 impl Queries {
-    /// Has agents asked over a socket, and answer to an address.
+    /// Sets the socket that queries are sent from and the address that agents answer to.
     pub fn attach(&self, own: SocketAddr, socket: Arc<UdpSocket>) {
         self.socket.get_or_init(|| (own, socket));
     }
@@ -52,10 +52,10 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in that an agent has answered; what it said is known by now.
+    /// Records that an agent answered a query; its report has been applied already.
     pub fn record_answer(&self, number: u64) {
         if let Some(waiting) = self.lock().get(&number) {
-            // Whoever asked may just have given up.
+            // The receiver may have timed out just now.
             waiting.send(()).unwrap_or_default();
         }
     }
@@ -67,9 +67,9 @@
         Query { queries: self, number, answers }
     }
 
-    /// Asks the agents of some endpoints for a place for a request with so many prompt
-    /// tokens, and waits until all have answered or it takes too long; gives the number
-    /// under which the places are open.
+    /// Asks the agents of some endpoints for a reservation for a request of `prompt` tokens, and
+    /// waits until all have answered or the timeout. Returns the number that identifies the
+    /// reservations.
     pub async fn reserve(&self, targets: &[Arc<Target>], prompt: u32, clock: Clock) -> u64 {
         let mut query = self.begin();
         let number = query.number;
@@ -82,7 +82,7 @@
                 tracking.load.pending.record_query(number, asked);
                 tracking.agent
             };
-            // Agents listen beside their engines, to the port to which gateways do.
+            // Agents listen on their engine's IP address, on the same port as gateways.
             let beside = || SocketAddr::new(target.pool.address().ip(), own.port());
             let agent = agent.unwrap_or_else(beside);
             missing += 1;
@@ -94,14 +94,14 @@
                 missing -= 1;
             }
         };
-        if timeout(PATIENCE, all).await.is_err() {
+        if timeout(TIMEOUT, all).await.is_err() {
             tracing::debug!(number, asked = targets.len(), "some agents did not answer in time");
         }
         number
     }
 }
 
-/// Gives a place back that was asked for under a number.
+/// Releases a reservation that was requested under a number.
 pub fn release(target: &Arc<Target>, number: u64, state: &State) {
     target.tracking().load.pending.resolve(number);
     state.outstanding_changes().add(target);
--- a/src/cinderspoke/gateway/refusal.rs
+++ b/src/cinderspoke/gateway/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of our own, for requests that no endpoint answers.
+//! Responses that the gateway generates itself, for requests that no endpoint answers.
 
 use std::io;
 use std::time::Duration;
@@ -10,33 +10,34 @@
 
 use super::context::Context;
 
-/// When a caller is to come back if nothing better is known.
+/// The retry delay that callers are told unless a better estimate is known.
 pub const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When a caller may come back that another gateway can serve at once.
+/// The retry delay that callers are told when another gateway can serve them at once.
 pub const RETRY_AFTER_ELSEWHERE: Duration = Duration::from_millis(20);
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// An answer of our own instead of an endpoint's.
+/// A response that the gateway generates instead of an endpoint's.
 pub struct Refusal {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Why, for logs and people.
+    /// The reason, written to the log and to the response body.
     pub reason: &'static str,
-    /// When the caller may come back.
+    /// The delay after which the caller may retry; none if the caller is told none.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that names no time to come back.
+    /// Creates a refusal without a retry delay.
     #[must_use]
     pub fn new(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after: None }
     }
 
-    /// The request has not run and never will; its caller may come back.
+    /// Creates a refusal which guarantees that the request has not run and will not run, so
+    /// that the caller may retry it.
     #[must_use]
     pub fn not_run(reason: &'static str, retry_after: Duration) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -45,7 +46,7 @@
 }
 
 impl Context {
-    /// Puts a refusal into the form in which callers read it.
+    /// Converts a refusal to the response that the caller receives.
     pub fn refuse(&self, refusal: &Refusal) -> Response<Body> {
         let mut response = plain(refusal.status, refusal.reason);
         if let Some(after) = refusal.retry_after {
@@ -55,14 +56,14 @@
     }
 }
 
-/// An answer with a line of text.
+/// Returns a plain-text response.
 fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(full(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// A body that is there already.
+/// Returns a body of bytes that are all in memory.
 pub fn full(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/src/cinderspoke/gateway/stream.rs
+++ b/src/cinderspoke/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! A stream as an endpoint writes it, cut into whole events.
+//! A response stream from an endpoint, split into whole events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,33 +14,33 @@
 use super::target::Target;
 use crate::util::clock::Deadline;
 
-/// A stream that an endpoint is writing.
+/// A stream of events that an endpoint is sending.
 pub struct EventStream {
     sent: Sent,
     body: Incoming,
     connection: Connection,
-    // How long the endpoint lets the connection rest afterwards.
-    keep: Option<Duration>,
+    // The idle timeout of the connection, as the endpoint says.
+    idle_timeout: Option<Duration>,
     splitter: Splitter,
-    // Whole events that are to be passed on.
+    // Whole events that were received by `wait_first` and not yet returned by `next`.
     ready: Option<Events>,
-    // Whether the endpoint has ended the stream.
+    // Whether the endpoint has ended the stream before any event.
     ended: bool,
 }
 
-/// Why a stream brings nothing more.
+/// Why a stream was interrupted before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Interrupted {
-    /// Its connection broke off, or what came is no stream.
+    /// The connection broke off, or the data is no event stream.
     BrokenOff,
-    /// It was silent for too long.
+    /// No event was received in time.
     TimedOut,
 }
 
 impl Interrupted {
-    /// What became of the send that stopped so.
+    /// Returns the outcome of the attempt whose stream was interrupted.
     #[must_use]
-    pub fn fate(self) -> Outcome {
+    pub fn outcome(self) -> Outcome {
         match self {
             Self::BrokenOff => Outcome::BrokenOff,
             Self::TimedOut => Outcome::Lost,
@@ -48,37 +48,37 @@
     }
 }
 
-/// What a stream brings next.
+/// The next item of a stream.
 pub enum Item {
     /// Whole events.
     Events(Events),
-    /// The endpoint has ended it.
+    /// The endpoint ended the stream.
     End,
 }
 
 impl EventStream {
-    /// The stream of an answer of which only the head was read, and that head.
+    /// Creates the stream of an answer of which only the head was read; returns the head too.
     #[must_use]
     pub fn new(answer: Answer) -> (response::Parts, Self) {
         let Answer { head, body, connection, sent, .. } = answer;
-        let keep = keep_alive_timeout(&head.headers);
+        let idle_timeout = keep_alive_timeout(&head.headers);
         let (splitter, ready, ended) = (Splitter::default(), None, false);
-        (head, Self { sent, body, connection, keep, splitter, ready, ended })
+        (head, Self { sent, body, connection, idle_timeout, splitter, ready, ended })
     }
 
-    /// The endpoint that writes it.
+    /// Returns the endpoint that sends the stream.
     #[must_use]
     pub fn target(&self) -> &Arc<Target> {
         &self.sent.target
     }
 
-    /// When the request was sent, by the gateway's clock.
+    /// Returns when the request was sent, by the gateway's clock.
     #[must_use]
     pub fn sent_at(&self) -> Duration {
         self.sent.sent_at
     }
 
-    /// Takes in that the endpoint has begun to answer.
+    /// Records that the endpoint has begun to answer.
     pub fn started(&self) {
         self.sent.started();
     }
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// When neither comes in time.
+    /// If neither is received in time, or the stream breaks off.
     pub async fn wait_first(&mut self, until: &Deadline) -> Result<(), Interrupted> {
         match self.next(until).await? {
             Item::Events(events) => self.ready = Some(events),
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// When neither comes in time, or the stream breaks off.
+    /// If neither is received in time, or the stream breaks off.
     pub async fn next(&mut self, until: &Deadline) -> Result<Item, Interrupted> {
         if let Some(events) = self.ready.take() {
             return Ok(Item::Events(events));
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Keeps the connection for other requests.
+    /// Returns the connection to the pool.
     pub fn finish(self) {
-        let Self { sent, body, connection, keep, .. } = self;
+        let Self { sent, body, connection, idle_timeout, .. } = self;
         drop(body);
-        sent.target.pool.check_in(connection, keep);
+        sent.target.pool.check_in(connection, idle_timeout);
     }
 }
--- a/src/cinderspoke/gateway/target.rs
+++ b/src/cinderspoke/gateway/target.rs
@@ -1,4 +1,5 @@
-//! Endpoints as a gateway deals with them.
+//! What a gateway keeps of each endpoint: connections, load, health, and what the endpoint
+//! announced of itself.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,51 +15,53 @@
 
 use super::pool::Pool;
 
-/// How long an endpoint that refused a request is left alone, as long as others can be asked.
+/// How long an endpoint that refused a request gets no more, unless no other endpoint is
+/// available.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(120);
 
-/// What changes with each request.
+/// The part of an endpoint's state that changes with each request.
 #[derive(Debug, Default)]
 pub struct Tracking {
-    /// What it is busy with.
+    /// The outstanding requests and the latest report of its agent.
     pub load: Load,
-    /// Its agent, once that has reported.
+    /// The address of its agent, once that has reported.
     pub agent: Option<SocketAddr>,
-    /// Whether it answers as it should.
+    /// Whether it is healthy, ejected, or due for a probe.
     pub health: Health,
-    /// Until when it is left alone after it refused a request.
+    /// Until when it gets no requests after it refused one, by the gateway's clock.
     pub paused_until: Duration,
-    /// What it was sent lately.
+    /// The recent sends, counted against the limit of a cold endpoint.
     pub sends: cold::Sends,
 }
 
-/// An endpoint with its connections, kept from one view to the next.
+/// An endpoint with its connections; views share it.
 #[derive(Debug)]
 pub struct Target {
     /// Its name.
     pub name: Endpoint,
     /// Connections to it.
     pub pool: Pool,
-    /// Which of its runs this is.
+    /// The run of the endpoint, which changes with each restart.
     pub run: Run,
     // When it started, where that is known.
     start: Option<Start>,
-    // What it said of itself: whether it leaves, and until when it wants no requests, in
-    // milliseconds of the gateway's clock. Not under `tracking`'s lock, under which what
-    // the gateway knows is asked for: that lock comes second.
+    // What the endpoint announced: whether it is draining, and until when it asked for back-off,
+    // in milliseconds of the gateway's clock. Not behind the lock of `tracking`: the lock of the
+    // gateway's state is taken while that one is held.
     draining: AtomicBool,
     backoff_until_ms: AtomicU64,
-    // Until when it is taken for cold, and what its entry last said of that, in milliseconds.
+    // Until when it counts as cold, by the gateway's clock, and the remaining warm-up that its
+    // entry last listed, both in milliseconds.
     cold_until_ms: AtomicU64,
     listed_cold_ms: AtomicU64,
-    // Whether its agent was asked to report here.
+    // Whether its agent was asked to report to this gateway.
     reports_here: AtomicBool,
     tracking: Mutex<Tracking>,
 }
 
 impl Target {
-    /// An endpoint of which nothing is known but its entry, and what it said of itself
-    /// before the entry went and came back.
+    /// Creates a target from its entry in the directory and from what the endpoint announced
+    /// before its entry was removed and added again.
     #[must_use]
     pub fn new(name: Endpoint, entry: &Entry, notices: &notice::Table) -> Self {
         let (pool, start, run) = (Pool::new(entry.address), entry.start, Run::of(&name, entry));
@@ -78,63 +81,64 @@
         }
     }
 
-    /// Whether an entry of its name is of this run of the endpoint: another one has none
-    /// of its connections, and what was known of it does not hold.
+    /// Returns whether an entry of this name describes the same run of the endpoint. Connections
+    /// and state are not carried over to another run.
     #[must_use]
     pub fn matches(&self, entry: &Entry) -> bool {
         self.pool.address() == entry.address && self.start == entry.start
     }
 
-    /// What changes with each request.
+    /// Locks the state that changes with each request.
     pub fn tracking(&self) -> MutexGuard<'_, Tracking> {
         self.tracking.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether it has requests of this gateway.
+    /// Returns whether this gateway has outstanding requests at the endpoint.
     pub fn has_outstanding(&self) -> bool {
         self.tracking().load.own_requests() > 0
     }
 
-    /// Leaves the endpoint alone for a while, since it refused a request.
+    /// Records that the endpoint refused a request: it gets no more for [`REFUSAL_PAUSE`].
     pub fn record_refusal(&self, now: Duration) {
         self.tracking().paused_until = now + REFUSAL_PAUSE;
     }
 
-    /// Whether this run may be the one that started then; without a time it may.
+    /// Returns whether this run may have started at that time; true if either time is unknown.
     #[must_use]
     pub fn matches_start(&self, start: Option<Start>) -> bool {
         start.is_none() || self.start.is_none() || self.start == start
     }
 
-    /// Whether it is about to leave, as it said itself.
+    /// Returns whether the endpoint announced that it is draining.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Takes in that it is about to leave.
+    /// Records that the endpoint is draining.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Takes in that it wants no requests until a time.
+    /// Extends the back-off that the endpoint asked for until a time of the gateway's clock.
     pub fn extend_backoff(&self, until: Duration) {
         self.backoff_until_ms.fetch_max(whole_millis(until), Ordering::Relaxed);
     }
 
-    /// Sets whether its agent was asked to report here.
+    /// Sets whether its agent was asked to report to this gateway.
     pub fn set_reports_here(&self, reports: bool) {
         self.reports_here.store(reports, Ordering::Relaxed);
     }
 
-    /// Whether its agent was asked to report here: silence tells of its instance then.
+    /// Returns whether its agent was asked to report to this gateway; missing reports then
+    /// indicate a failure of its instance.
     #[must_use]
     pub fn reports_here(&self) -> bool {
         self.reports_here.load(Ordering::Relaxed)
     }
 
-    /// Sets how much longer its entry says that it is cold; an entry that says the same again
-    /// is the same word.
+    /// Applies the remaining warm-up that its entry lists; does nothing if the entry lists the
+    /// same as before, since that is no new statement.
     pub fn set_listed_cold(&self, cold: Duration, now: Duration) {
         let cold_ms = whole_millis(cold);
         if self.listed_cold_ms.swap(cold_ms, Ordering::Relaxed) != cold_ms {
@@ -142,31 +146,32 @@
         }
     }
 
-    /// Counts it as cold until a time, or longer where it was known to be.
+    /// Counts the endpoint as cold at least until a time of the gateway's clock.
     pub fn extend_cold(&self, until: Duration) {
         self.cold_until_ms.fetch_max(whole_millis(until), Ordering::Relaxed);
     }
 
-    /// Whether it is taken for cold.
+    /// Returns whether the endpoint counts as cold.
     #[must_use]
     pub fn is_cold(&self, now: Duration) -> bool {
         Duration::from_millis(self.cold_until_ms.load(Ordering::Relaxed)) > now
     }
 
-    /// For how much longer it wants no requests; none if it takes them.
+    /// Returns the rest of the back-off that the endpoint asked for; none if it is over.
     #[must_use]
     pub fn backoff_left(&self, now: Duration) -> Option<Duration> {
         let until = Duration::from_millis(self.backoff_until_ms.load(Ordering::Relaxed));
         until.checked_sub(now).filter(|left| !left.is_zero())
     }
 
-    /// Whether it takes requests at all, by what it said itself.
+    /// Returns whether the endpoint accepts requests, by its own announcements: it is neither
+    /// draining nor in back-off.
     #[must_use]
     pub fn accepts_requests(&self, now: Duration) -> bool {
         !self.is_draining() && self.backoff_left(now).is_none()
     }
 
-    /// Takes in how a request ended.
+    /// Records how a request ended; closes idle connections if that ejects the endpoint.
     pub fn observe(&self, sign: Observation, now: Duration) {
         if self.tracking().health.record(sign, now) {
             tracing::info!(endpoint = %self.name, ?sign, "endpoint left out for a while");
@@ -175,7 +180,7 @@
     }
 }
 
-/// A time in milliseconds, rounded up.
+/// Converts a duration to milliseconds, rounded up.
 fn whole_millis(time: Duration) -> u64 {
     u64::try_from(time.as_nanos().div_ceil(1_000_000)).unwrap_or(u64::MAX)
 }
