--- a/src/cinderspoke/gateway/answer.rs
+++ b/src/cinderspoke/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! What one send brings: a whole answer, a stream that has begun, or a failure.
+//! The result of one attempt: a whole answer, a stream that has begun, or a failure.
 
 use std::time::Duration;
 
@@ -20,21 +20,21 @@
 use super::target::Target;
 use crate::util::clock::Deadline;
 
-/// How much longer than twice what is expected a stream's first event may take.
-const FIRST_SILENCE: Duration = Duration::from_millis(1300);
+/// Added to twice the expected time for the first event of a stream.
+const FIRST_EVENT_SLACK: Duration = Duration::from_millis(1300);
 
-/// What became of one send.
+/// The result of one attempt.
 pub enum Attempt {
     /// A whole answer.
     Whole(Response<Bytes>),
-    /// A stream whose first events are there.
+    /// The head of a stream whose first events were received, and the stream.
     Stream(response::Parts, Box<EventStream>),
-    /// No success; an endpoint's own failure may be passed on.
+    /// A failure, with the endpoint's failure response if that may be forwarded.
     Failed(Outcome, Option<Response<Bytes>>),
 }
 
-/// Sends a request to an endpoint and reads as much of the answer as has to be
-/// there before the caller is told anything.
+/// Sends a request to an endpoint and reads what has to be received before the response to the
+/// caller begins: the whole answer, or the first events of a stream.
 pub async fn attempt(
     context: &Context,
     parsed: &Parsed,
@@ -42,16 +42,17 @@
     record: &mut Record,
 ) -> Attempt {
     let slack = match parsed.route.kind {
-        Kind::Stream { resumable: true } => FIRST_SILENCE,
+        Kind::Stream { resumable: true } => FIRST_EVENT_SLACK,
         _ => Duration::MAX,
     };
     let until = start_deadline(context, parsed, selected, slack);
     let answer = match send(context, parsed, selected, None, &until).await {
         Ok(answer) => answer,
-        Err(fate) => return Attempt::Failed(fate, None),
+        Err(outcome) => return Attempt::Failed(outcome, None),
     };
     if answer.info.request.as_ref() != Some(&parsed.call.id) {
-        // The answer of another request, or none of an endpoint: nothing is known of ours.
+        // The answer belongs to another request or is not from an endpoint, so the outcome of
+        // this request is unknown.
         return lost(context, &selected.target);
     }
     if answer.info.not_run {
@@ -69,12 +70,13 @@
     }
 }
 
-/// Whether an answer is encoded: none is asked for, so it is no endpoint's own.
+/// Returns whether an answer has a content encoding. Requests ask for none, so an encoded answer
+/// was not written by the endpoint itself.
 pub fn is_encoded(head: &response::Parts) -> bool {
     head.headers.contains_key(header::CONTENT_ENCODING)
 }
 
-/// The endpoint's answer does not tell what became of the request.
+/// Fails an attempt whose outcome is unknown.
 fn lost(context: &Context, target: &Target) -> Attempt {
     target.observe(Observation::Silence, context.clock.now());
     Attempt::Failed(Outcome::Lost, None)
@@ -98,7 +100,7 @@
     Attempt::Stream(head, Box::new(stream))
 }
 
-/// Reads an answer whole.
+/// Reads a whole answer.
 async fn read(context: &Context, parsed: &Parsed, answer: Answer) -> Attempt {
     let Answer { head, body, connection, sent, .. } = answer;
     let read = parsed.deadline.bound(Limited::new(body, MAX_BUFFERED_ANSWER).collect()).await;
@@ -115,9 +117,9 @@
     let good = !head.status.is_server_error();
     let sign = if good { Observation::Good } else { Observation::Failure };
     target.observe(sign, context.clock.now());
-    let response = Response::from_parts(end_to_end(head), body.to_bytes());
-    if is_promise(response.status()) {
-        // Such a status would promise that the request has not run.
+    let response = Response::from_parts(strip_hop_by_hop(head), body.to_bytes());
+    if means_not_run(response.status()) {
+        // The caller would conclude from the status that the request has not run.
         Attempt::Failed(Outcome::Failed, None)
     } else if good {
         Attempt::Whole(response)
@@ -126,8 +128,8 @@
     }
 }
 
-/// Whether callers take a status for the promise that their request has not run.
-fn is_promise(status: StatusCode) -> bool {
+/// Returns whether callers take a status as a guarantee that their request has not run.
+fn means_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -137,8 +139,8 @@
     )
 }
 
-/// The head of an answer without what concerns the endpoint's connection.
-pub fn end_to_end(mut head: response::Parts) -> response::Parts {
+/// Removes hop-by-hop headers from the head of an answer.
+pub fn strip_hop_by_hop(mut head: response::Parts) -> response::Parts {
     for name in ["connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade"] {
         head.headers.remove(name);
     }
--- a/src/cinderspoke/gateway/choose.rs
+++ b/src/cinderspoke/gateway/choose.rs
@@ -1,4 +1,8 @@
-//! Choosing the endpoint for a request's next send.
+//! Chooses the endpoint for the next attempt of a request.
+//!
+//! [`Attempts`] collects the attempts of one request. Its `choose` determines which members of the
+//! service are eligible now, has the core compare them, queries agents for reservations if the
+//! core asks for that, and returns a [`Selected`] endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,67 +28,70 @@
 use super::target::{Target, Tracking};
 use super::view::{Member, View};
 
-/// How long a plain service is expected to take before it answers, for each request that it has.
-const PLAIN_TURN: Duration = Duration::from_millis(4);
+/// Expected service time of each outstanding request at an endpoint that is no model engine.
+const PLAIN_SERVICE_TIME: Duration = Duration::from_millis(4);
 
-/// An endpoint that was chosen for a send.
+/// An endpoint selected for an attempt.
 #[derive(Clone)]
 pub struct Selected {
     /// The endpoint.
     pub target: Arc<Target>,
-    /// The version of weights that it is to answer with.
+    /// The version of weights that the endpoint is to answer with.
     pub version: Option<Version>,
-    /// How much longer that version may begin requests there; none for no end.
+    /// How much longer requests may begin on that version; none if it is not superseded.
     pub version_left: Option<Duration>,
-    /// When it should begin to answer.
-    pub expected_ttfb: Duration,
-    /// The number under which its agent keeps a place there, if it was asked.
+    /// The expected time until the endpoint begins to answer.
+    pub expected_ttft: Duration,
+    /// The number of the reservation at its agent, if the agent was queried.
     pub reservation: Option<u64>,
 }
 
-/// The sends of a request so far.
+/// The attempts of a request so far.
 #[derive(Default)]
 pub struct Attempts {
-    /// What became of them.
+    /// Their outcomes.
     pub history: History,
-    /// The endpoints that were tried.
+    /// The endpoints that were tried, in order.
     pub tried: Vec<Endpoint>,
-    /// How many sends never left this process.
+    /// How many attempts were never sent.
     pub unsent: u32,
-    // Those of them to which a connection was silent; a new one may work.
+    // Endpoints to which a reused connection got no answer; a new connection may work.
     stale: Vec<Endpoint>,
-    // An endpoint's own failure, to be passed on when nothing better comes.
+    // The last failure response of an endpoint, forwarded if no attempt succeeds.
     failure: Option<Response<Bytes>>,
 }
 
 impl Attempts {
-    /// Takes in what became of the last send.
-    pub fn record(&mut self, fate: Outcome) {
-        self.history.record(fate);
+    /// Records the outcome of the last attempt.
+    pub fn record(&mut self, outcome: Outcome) {
+        self.history.record(outcome);
         let last = self.tried.last();
         self.stale.retain(|name| Some(name) != last);
-        if fate == Outcome::Stale {
+        if outcome == Outcome::Stale {
             self.stale.extend(last.cloned());
         }
-        if fate == Outcome::NotSent {
+        if outcome == Outcome::NotSent {
             self.unsent += 1;
         }
     }
 
-    /// Takes in an endpoint's failure, which the caller gets if nothing better comes.
+    /// Keeps an endpoint's failure response, which the caller gets if no attempt succeeds.
     pub fn failed(&mut self, failure: Option<Response<Bytes>>) {
         if failure.is_some() {
             self.failure = failure;
         }
     }
 
-    /// The newest failure that an endpoint answered with.
+    /// Takes the last failure response of an endpoint.
     pub fn take_failure(&mut self) -> Option<Response<Bytes>> {
         self.failure.take()
     }
 
-    /// Chooses an endpoint, or says when the caller is to come back. Under load, the agents
-    /// of some endpoints are asked first what these hold.
+    /// Selects an endpoint. Under load, the agents of some endpoints are queried first.
+    ///
+    /// # Errors
+    ///
+    /// The retry delay for the caller, if no endpoint can take the request.
     pub async fn choose(
         &self,
         context: &Context,
@@ -94,12 +101,12 @@
         let view = context.state.view();
         let members = view.members(&parsed.service);
         let mut search = reservation::Selection::default();
-        let mut places: Vec<Place> = Vec::new();
-        let mut reach = Reach::Subset;
+        let mut reservations: Vec<Reservation> = Vec::new();
+        let mut scope = Scope::Subset;
         loop {
-            let (prospects, wish) = self.look(context, parsed, &view, reach);
-            let candidates: Vec<_> = prospects.iter().map(|prospect| prospect.candidate).collect();
-            let choice = match search.next(&wish, &candidates) {
+            let (eligible, requirements) = self.eligible(context, parsed, &view, scope);
+            let candidates: Vec<_> = eligible.iter().map(|member| member.candidate).collect();
+            let choice = match search.next(&requirements, &candidates) {
                 Step::Done(choice) => choice,
                 Step::Query(numbers) => {
                     let targets = numbers.iter().map(|number| Arc::clone(&members[*number].target));
@@ -107,96 +114,97 @@
                     let prompt = parsed.call.size.prompt;
                     let number =
                         context.state.queries().reserve(&targets, prompt, context.clock).await;
-                    places.extend(targets.into_iter().map(|target| Place { target, number }));
+                    let reserved = targets.into_iter().map(|target| Reservation { target, number });
+                    reservations.extend(reserved);
                     continue;
                 }
             };
             record.set_queried(search.queried());
             return match choice {
-                Choice::Send { number, ttft: first } => {
+                Choice::Send { number, ttft } => {
                     let target = Arc::clone(&members[number].target);
                     target.tracking().sends.add(context.clock.now());
-                    let reservation = settle(places, Some(&target), context);
-                    let prospect = prospects.iter().find(|one| one.candidate.number == number);
-                    let version = prospect.and_then(|prospect| prospect.version);
-                    let version_left = prospect.and_then(|prospect| prospect.version_left);
+                    let reservation = release_others(reservations, Some(&target), context);
+                    let member = eligible.iter().find(|member| member.candidate.number == number);
+                    let version = member.and_then(|member| member.version);
+                    let version_left = member.and_then(|member| member.version_left);
                     let selected = Selected {
                         target,
                         version,
                         version_left,
-                        expected_ttfb: first,
+                        expected_ttft: ttft,
                         reservation,
                     };
                     record.selected(&selected, candidates.len());
                     Ok(selected)
                 }
-                Choice::Refuse { .. } if reach == Reach::Subset && self.is_more(members) => {
-                    // No endpoint that reports here has room; others may.
-                    reach = Reach::All;
+                Choice::Refuse { .. } if scope == Scope::Subset && self.has_unreported(members) => {
+                    // No endpoint that reports to this gateway has capacity; others may have.
+                    scope = Scope::All;
                     search = reservation::Selection::default();
                     continue;
                 }
-                Choice::Refuse { retry_after: come_back, best } => {
-                    settle(places, None, context);
-                    let excluded = self.survey(context, parsed, &view, reach).excluded(members);
+                Choice::Refuse { retry_after, best } => {
+                    release_others(reservations, None, context);
+                    let excluded = self.selector(context, parsed, &view, scope).excluded(members);
                     record.no_endpoint(Unavailable {
                         members: members.len(),
                         excluded,
                         candidates: candidates.len(),
                         best,
                     });
-                    Err(come_back)
+                    Err(retry_after)
                 }
             };
         }
     }
 
-    /// Whether there are endpoints whose agents do not report here.
-    fn is_more(&self, members: &[Member]) -> bool {
+    /// Returns whether untried endpoints exist whose agents do not report to this gateway.
+    fn has_unreported(&self, members: &[Member]) -> bool {
         let mut untried = members.iter().filter(|member| !self.tried.contains(&member.target.name));
         untried.any(|member| !member.target.reports_here())
     }
 
-    /// The endpoints that may get the request, and what it asks of them.
-    fn look(
+    /// Returns the endpoints that may get the request, and its requirements.
+    fn eligible(
         &self,
         context: &Context,
         parsed: &Parsed,
         view: &View,
-        reach: Reach,
-    ) -> (Vec<Prospect>, Requirements) {
-        let survey = self.survey(context, parsed, view, reach);
+        scope: Scope,
+    ) -> (Vec<Eligible>, Requirements) {
+        let selector = self.selector(context, parsed, view, scope);
         let members = view.members(&parsed.service);
-        let mut options = survey.options(members, Avoided::LeftOut);
-        if options.is_empty() {
-            // Better one that failed lately than none.
-            options = survey.options(members, Avoided::Included);
+        let mut eligible = selector.eligible(members, Impaired::Skip);
+        if eligible.is_empty() {
+            // An endpoint that failed recently is better than none.
+            eligible = selector.eligible(members, Impaired::Include);
         }
-        if options.is_empty() && !self.stale.is_empty() {
+        if eligible.is_empty() && !self.stale.is_empty() {
             let tried = self.tried.iter().filter(|name| !self.stale.contains(*name));
             let tried = &tried.cloned().collect::<Vec<_>>();
-            let survey = Survey { tried, residency: survey.residency.clone(), ..survey };
-            options = survey.options(members, Avoided::Included);
+            let selector = Selector { tried, residency: selector.residency.clone(), ..selector };
+            eligible = selector.eligible(members, Impaired::Include);
         }
-        let wish = Requirements {
-            weights_missing: survey.engine.is_some()
-                && members.iter().any(|one| survey.is_allowed(one)),
-            backoff_left: survey.backoff_left(members),
+        let requirements = Requirements {
+            weights_missing: selector.engine.is_some()
+                && members.iter().any(|one| selector.is_allowed(one)),
+            backoff_left: selector.backoff_left(members),
             competing_rate: context.competing_rate(&parsed.service, view.gateways),
-            ..self.wish(context, parsed)
+            ..self.requirements(context, parsed)
         };
-        (options, wish)
+        (eligible, requirements)
     }
 
-    /// What one choice looks at now.
-    fn survey<'a>(
+    /// Collects the inputs of one choice.
+    fn selector<'a>(
         &'a self,
         context: &'a Context,
         parsed: &'a Parsed,
         view: &'a View,
-        reach: Reach,
-    ) -> Survey<'a> {
-        Survey {
+        scope: Scope,
+    ) -> Selector<'a> {
+        Selector {
             context,
             parsed,
             tried: &self.tried,
@@ -204,13 +212,13 @@
             engine: view.engine(&parsed.service),
             residency: residency(parsed, view),
             cold: context.state.cold_bound(view, &parsed.service),
-            reach,
+            scope,
             now: context.clock.now(),
         }
     }
 
-    /// What the request asks of an endpoint now.
-    fn wish(&self, context: &Context, parsed: &Parsed) -> Requirements {
+    /// Returns the requirements of the request that do not depend on the members.
+    fn requirements(&self, context: &Context, parsed: &Parsed) -> Requirements {
         let waited = parsed.waited + context.clock.now().saturating_sub(parsed.arrived);
         Requirements {
             ttft_target: parsed.route.target,
@@ -225,17 +233,21 @@
     }
 }
 
-/// A place that was asked for, under a number.
-struct Place {
+/// A reservation that was requested from an endpoint's agent, under a number.
+struct Reservation {
     target: Arc<Target>,
     number: u64,
 }
 
-/// Gives all places back but the one at the endpoint that was chosen; gives its number.
-fn settle(places: Vec<Place>, chosen: Option<&Arc<Target>>, context: &Context) -> Option<u64> {
+/// Releases all reservations except the one at the selected endpoint; returns its number.
+fn release_others(
+    reservations: Vec<Reservation>,
+    selected: Option<&Arc<Target>>,
+    context: &Context,
+) -> Option<u64> {
     let mut kept = None;
-    for Place { target, number } in places {
-        if chosen.is_some_and(|chosen| Arc::ptr_eq(chosen, &target)) {
+    for Reservation { target, number } in reservations {
+        if selected.is_some_and(|selected| Arc::ptr_eq(selected, &target)) {
             kept = Some(number);
         } else {
             release(&target, number, &context.state);
@@ -244,80 +256,82 @@
     kept
 }
 
-/// What is done about endpoints that fail, rest or cannot be reached.
+/// Whether endpoints are eligible that are ejected, paused after a refusal, stalled or
+/// unreachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Avoided {
-    /// They get nothing.
-    LeftOut,
-    /// They are asked like all others.
-    Included,
+enum Impaired {
+    /// They are not eligible.
+    Skip,
+    /// They are eligible like all others.
+    Include,
 }
 
-/// How far an endpoint for a request is looked for.
+/// Which endpoints are considered for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reach {
-    /// Among those whose agents report here.
+enum Scope {
+    /// Those whose agents report to this gateway.
     Subset,
-    /// Among all; those whose agents do not report here are asked first.
+    /// All; the agents of those that do not report to this gateway are queried first.
     All,
 }
 
-/// An endpoint that may get the request.
-struct Prospect {
+/// A member that may get the request.
+struct Eligible {
     candidate: Candidate,
     version: Option<Version>,
     version_left: Option<Duration>,
 }
 
-/// Which version of weights a request is to be answered with.
+/// The version of weights that an endpoint would answer a request with.
 enum Weights {
-    /// The request is for no model, or the service has none.
+    /// Any: the request names no model, or the service is no model engine.
     Any,
-    /// This version only.
+    /// Only this version.
     Only(Version),
-    /// The endpoint has none that fits.
-    Unfit,
+    /// The endpoint has no weights of the model, or accepts no requests for it.
+    Missing,
 }
 
-/// How many endpoints may not get a request, by what bars them.
+/// How many endpoints may not get a request, by reason; one may count under several.
 #[derive(Debug, Clone, Copy)]
 pub struct Excluded {
-    /// They are outside the regions where it may be served.
+    /// They are outside the allowed regions.
     pub outside_allowed_regions: usize,
-    /// Their availability zones are emptied.
+    /// Their availability zones are evacuated.
     pub in_evacuated_zones: usize,
-    /// They are cold, and were sent this gateway's share.
+    /// They are cold and have received this gateway's share of their limit.
     pub cold: usize,
 }
 
-/// Why no endpoint was chosen.
+/// Why no endpoint was selected.
 #[derive(Debug, Clone, Copy)]
 pub struct Unavailable {
     /// How many endpoints the service has.
     pub members: usize,
-    /// How many of them may not get the request.
+    /// How many of them are excluded.
     pub excluded: Excluded,
-    /// How many could have taken it.
+    /// How many were eligible in the last round.
     pub candidates: usize,
-    /// Why the best of these is not good enough.
+    /// The best of these and the limit that it exceeds, if there is one.
     pub best: Option<BestCandidate>,
 }
 
-/// What one choice looks at.
-struct Survey<'a> {
+/// The inputs of one choice.
+struct Selector<'a> {
     context: &'a Context,
     parsed: &'a Parsed,
     tried: &'a [Endpoint],
     view: &'a View,
     engine: Option<&'a Engine>,
     residency: Residency,
-    // Of cold endpoints; none without a bound.
+    // The limit of sends to cold endpoints; none if there is no limit.
     cold: Option<Bound>,
-    reach: Reach,
+    scope: Scope,
     now: Duration,
 }
 
-/// Where a request may be served: a configuration that has come since it was read binds it too.
+/// Returns where a request may be served: within the limits of the configuration under which it
+/// was parsed and of the newest one.
 fn residency(parsed: &Parsed, view: &View) -> Residency {
     let catalog = view.catalog.as_ref();
     let route = catalog.and_then(|catalog| catalog.route(&parsed.call.host, &parsed.call.path));
@@ -326,46 +340,46 @@
     parsed.residency.clone().and(newer.unwrap_or_default())
 }
 
-impl Survey<'_> {
-    /// The members that may get the request, each with its place among all members.
-    fn options(&self, members: &[Member], avoided: Avoided) -> Vec<Prospect> {
+impl Selector<'_> {
+    /// Returns the untried members that may get the request.
+    fn eligible(&self, members: &[Member], impaired: Impaired) -> Vec<Eligible> {
         let members = members.iter().enumerate();
         let untried = members.filter(|(_, member)| !self.tried.contains(&member.target.name));
-        untried.filter_map(|(number, member)| self.option(number, member, avoided)).collect()
+        untried.filter_map(|(number, member)| self.check(number, member, impaired)).collect()
     }
 
-    /// After how long the first of those members takes requests again that could answer
-    /// this one but rest.
+    /// Returns the shortest remaining back-off among the members that could answer the request
+    /// otherwise.
     fn backoff_left(&self, members: &[Member]) -> Option<Duration> {
         let allowed = members.iter().filter(|member| self.is_allowed(member));
         let left = |member: &Member| {
             let left = member.target.backoff_left(self.now)?;
             let tracking = member.target.tracking();
-            (!matches!(self.weights(member, &tracking.load), Weights::Unfit)).then_some(left)
+            (!matches!(self.weights(member, &tracking.load), Weights::Missing)).then_some(left)
         };
         allowed.filter_map(left).min()
     }
 
-    /// Whether a member may get the request whatever it is busy with: its zone is not emptied,
-    /// and the request may be served in its region.
+    /// Returns whether a member may get the request regardless of load: its availability zone is
+    /// not evacuated, and its region is allowed.
     fn is_allowed(&self, member: &Member) -> bool {
         !member.is_evacuated && self.residency.allows(&member.region)
     }
 
-    /// How many members may not get the request, whatever they are busy with.
+    /// Counts the members that may not get the request regardless of load.
     fn excluded(&self, members: &[Member]) -> Excluded {
-        let count = |is_barred: &dyn Fn(&Member) -> bool| {
-            members.iter().filter(|member| is_barred(member)).count()
+        let count = |is_excluded: &dyn Fn(&Member) -> bool| {
+            members.iter().filter(|member| is_excluded(member)).count()
         };
         Excluded {
             outside_allowed_regions: count(&|member| !self.residency.allows(&member.region)),
             in_evacuated_zones: count(&|member| member.is_evacuated),
-            cold: count(&|member| self.is_spent(member, &member.target.tracking())),
+            cold: count(&|member| self.is_at_cold_limit(member, &member.target.tracking())),
         }
     }
 
-    /// Whether a member is cold and was sent this gateway's share of what it bears.
-    fn is_spent(&self, member: &Member, tracking: &Tracking) -> bool {
+    /// Returns whether a member is cold and has received this gateway's share of its limit.
+    fn is_at_cold_limit(&self, member: &Member, tracking: &Tracking) -> bool {
         let Some(bound) = self.cold.filter(|_| member.target.is_cold(self.now)) else {
             return false;
         };
@@ -374,68 +388,66 @@
         tracking.sends.count(self.now) >= share
     }
 
-    /// A member as a prospect, if it is one.
-    fn option(&self, number: usize, member: &Member, avoided: Avoided) -> Option<Prospect> {
+    /// Returns a member as a candidate, if it is eligible; `number` is its index among all members.
+    fn check(&self, number: usize, member: &Member, impaired: Impaired) -> Option<Eligible> {
         if !self.is_allowed(member) || !member.target.accepts_requests(self.now) {
             return None;
         }
         let tracking = member.target.tracking();
-        if self.is_spent(member, &tracking) {
+        if self.is_at_cold_limit(member, &tracking) {
             return None;
         }
         let state = tracking.health.state(self.now);
-        // One whose agent reports to others looks as if it had nothing to do, or stood still.
-        let is_heard = tracking.load.report(self.now).is_some();
-        let is_beyond = self.engine.is_some() && !is_heard && !member.target.reports_here();
-        let is_away = !is_beyond && tracking.load.is_unreachable(self.now);
-        let stands = is_away || tracking.load.is_stalled(self.now);
-        let avoid = state == health::State::Ejected || tracking.paused_until > self.now || stands;
-        if avoid && avoided == Avoided::LeftOut {
+        // Without reports, an endpoint whose agent reports to other gateways would look idle or
+        // stalled.
+        let has_report = tracking.load.report(self.now).is_some();
+        let reports_elsewhere =
+            self.engine.is_some() && !has_report && !member.target.reports_here();
+        let is_unreachable = !reports_elsewhere && tracking.load.is_unreachable(self.now);
+        let is_failing = is_unreachable || tracking.load.is_stalled(self.now);
+        let is_impaired =
+            state == health::State::Ejected || tracking.paused_until > self.now || is_failing;
+        if is_impaired && impaired == Impaired::Skip {
             return None;
         }
         let version = match self.weights(member, &tracking.load) {
             Weights::Any => None,
             Weights::Only(version) => Some(version),
-            Weights::Unfit => return None,
+            Weights::Missing => return None,
         };
         let forecast = self.forecast(&tracking.load);
-        // Silence from the start tells as little as silence since: an instance that
-        // was out of reach before this gateway started has never reported here.
+        // A missing first report says as little as a later gap: an instance that was unreachable
+        // before this gateway started has never reported to it.
         let report = tracking.load.report(self.now);
-        let (heard, narrow) = (report.is_some(), report.is_none_or(|report| report.is_congested));
-        let version_left = version.and_then(|version| self.version_left(version, narrow));
-        if is_beyond && avoided == Avoided::LeftOut && self.reach == Reach::Subset {
+        let (has_report, is_congested) =
+            (report.is_some(), report.is_none_or(|report| report.is_congested));
+        let version_left = version.and_then(|version| self.version_left(version, is_congested));
+        if reports_elsewhere && impaired == Impaired::Skip && self.scope == Scope::Subset {
             return None;
         }
-        let well = heard && !stands && state == health::State::Healthy;
-        // What is held up on the way may begin long after it was given up.
-        if version_left.is_some_and(|left| !well || left < forecast.ttft()) {
+        let is_healthy = has_report && !is_failing && state == health::State::Healthy;
+        // A request delayed on the way may begin long after the gateway has given it up, so a
+        // version that expires soon is used only at endpoints known to be healthy.
+        if version_left.is_some_and(|left| !is_healthy || left < forecast.ttft()) {
             return None;
         }
-        let trial = state == health::State::ProbeDue;
+        let is_probe = state == health::State::ProbeDue;
         let age = tracking.load.report_age(self.now).unwrap_or_default();
-        let turn = self.engine.map_or(Duration::ZERO, load::service_time);
+        let service_time = self.engine.map_or(Duration::ZERO, load::service_time);
         let distance = member.distance;
-        let agent = match self.agent(&tracking, heard) {
-            _ if is_beyond && self.reach == Reach::All && avoided == Avoided::LeftOut => {
+        let agent = match self.agent(&tracking, has_report) {
+            _ if reports_elsewhere && self.scope == Scope::All && impaired == Impaired::Skip => {
                 Agent::NotReporting
             }
             agent => agent,
         };
-        let candidate = Candidate {
-            number,
-            distance,
-            forecast,
-            age,
-            service_time: turn,
-            is_probe: trial,
-            agent,
-        };
-        Some(Prospect { candidate, version, version_left })
+        let candidate =
+            Candidate { number, distance, forecast, age, service_time, is_probe, agent };
+        Some(Eligible { candidate, version, version_left })
     }
 
-    /// The version that a member would answer with: as its agent reports, or
-    /// else as it is listed.
+    /// Returns the version that a member would answer with: as its agent reports, or else as the
+    /// directory lists.
     fn weights(&self, member: &Member, load: &Load) -> Weights {
         let Some(model) = self.parsed.call.model.as_ref().filter(|_| self.engine.is_some()) else {
             return Weights::Any;
@@ -447,24 +459,24 @@
                 listed.map(|(_, version)| *version)
             }
         };
-        version.map_or(Weights::Unfit, Weights::Only)
+        version.map_or(Weights::Missing, Weights::Only)
     }
 
-    /// When an endpoint should begin to answer.
+    /// Forecasts when an endpoint would begin to answer.
     fn forecast(&self, load: &Load) -> Forecast {
         let estimate = load.estimate(self.engine, self.view.gateways, self.now);
         match self.engine {
             Some(engine) => forecast(engine, &estimate, self.parsed.call.size),
             None => {
-                let wait = PLAIN_TURN.saturating_mul(load.own_requests() as u32);
+                let wait = PLAIN_SERVICE_TIME.saturating_mul(load.own_requests() as u32);
                 Forecast { wait, ..Forecast::default() }
             }
         }
     }
 
-    /// What is to be had from an endpoint's agent, which was heard of lately or not.
-    fn agent(&self, tracking: &Tracking, heard: bool) -> Agent {
-        if self.engine.is_none() || !heard || tracking.agent.is_none() {
+    /// Returns whether an endpoint's agent can be queried, or has answered recently.
+    fn agent(&self, tracking: &Tracking, has_report: bool) -> Agent {
+        if self.engine.is_none() || !has_report || tracking.agent.is_none() {
             Agent::None
         } else if tracking.load.has_recent_answer(self.now) {
             Agent::Answered
@@ -473,9 +485,9 @@
         }
     }
 
-    /// How much longer a version may begin requests; none while it is the newest.
-    fn version_left(&self, version: Version, narrow: bool) -> Option<Duration> {
+    /// Returns how much longer requests may begin on a version; none while it is the newest.
+    fn version_left(&self, version: Version, is_congested: bool) -> Option<Duration> {
         let model = self.parsed.call.model.as_ref()?;
-        self.context.state.version_time_left(model, version, narrow)
+        self.context.state.version_time_left(model, version, is_congested)
     }
 }
--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -1,4 +1,5 @@
-//! What answering requests needs, shared by all of a gateway's requests.
+//! State that all of a gateway's requests share: the gateway's state, counts of requests and
+//! connections, retry budgets, and estimates for services and routes.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -16,24 +17,24 @@
 use super::state::State;
 use crate::util::clock::Clock;
 
-/// What answering requests needs.
+/// State that all of a gateway's requests share.
 pub struct Context {
-    /// What is known.
+    /// The gateway's state.
     pub state: Arc<State>,
-    /// How requests are spelled.
+    /// The names that requests and answers have on the wire.
     pub dialect: Arc<dyn Dialect>,
     /// The process's clock.
     pub clock: Clock,
     draining: AtomicBool,
     closing: CancellationToken,
     in_progress: AtomicUsize,
-    // Connections on which an answer may still be on its way.
-    open: AtomicUsize,
-    numbers: AtomicU64,
+    // Connections on which a response may still be being written.
+    open_connections: AtomicUsize,
+    next_attempt: AtomicU64,
     budgets: Mutex<HashMap<Service, Budget>>,
     demands: Mutex<HashMap<Service, Demand>>,
-    // How long callers of each route usually wait.
-    usual: Mutex<HashMap<String, Estimator>>,
+    // Estimates the usual timeout of the callers of each route.
+    caller_timeouts: Mutex<HashMap<String, Estimator>>,
 }
 
 /// Counts a request as in progress until it is dropped.
@@ -45,17 +46,17 @@
     }
 }
 
-/// Counts a connection as one to wait for until it is dropped.
+/// Counts a connection as open, so that a stop waits for it, until it is dropped.
 pub struct OpenConnection(Arc<Context>);
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Context {
-    /// A context for a gateway that has just started.
+    /// Creates the context of a gateway that has just started.
     #[must_use]
     pub fn new(state: Arc<State>, dialect: Arc<dyn Dialect>, clock: Clock) -> Self {
         Self {
@@ -65,15 +66,16 @@
             draining: AtomicBool::new(false),
             closing: CancellationToken::new(),
             in_progress: AtomicUsize::new(0),
-            open: AtomicUsize::new(0),
-            numbers: AtomicU64::new(1),
+            open_connections: AtomicUsize::new(0),
+            next_attempt: AtomicU64::new(1),
             budgets: Mutex::default(),
             demands: Mutex::default(),
-            usual: Mutex::default(),
+            caller_timeouts: Mutex::default(),
         }
     }
 
-    /// Whether the gateway takes new connections.
+    /// Returns whether the gateway is ready: it is not draining, and knows a configuration,
+    /// endpoints and the evacuated availability zones.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let view = self.state.view();
@@ -81,91 +83,91 @@
         !self.is_draining() && knows
     }
 
-    /// Says that the gateway takes no new connections.
+    /// Makes the gateway report that it is not ready for new connections.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Closes connections as soon as no request is on them.
+    /// Closes each connection as soon as it has no request in progress.
     pub fn close_connections(&self) {
         self.closing.cancel();
     }
 
-    /// Whether the gateway has said that it takes no new connections.
+    /// Returns whether the gateway reports that it is not ready for new connections.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Waits until connections are to be closed.
+    /// Waits until [`Self::close_connections`] is called.
     pub async fn wait_closing(&self) {
         self.closing.cancelled().await;
     }
 
-    /// Whether connections are being closed.
+    /// Returns whether connections are being closed.
     #[must_use]
     pub fn is_closing(&self) -> bool {
         self.closing.is_cancelled()
     }
 
-    /// How many requests are in progress.
+    /// Returns the number of requests in progress.
     #[must_use]
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// How many connections a stop has to wait for: an answer that was formed is
-    /// not written yet, and is lost if the process ends.
+    /// Returns the number of connections that a stop has to wait for: a response may be complete
+    /// but not written yet, and would be lost if the process ended.
     #[must_use]
     pub fn open_connections(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+        self.open_connections.load(Ordering::Relaxed)
     }
 
-    /// What callers may send.
+    /// Returns the limits of callers' requests and connections.
     #[must_use]
     pub fn limits(&self) -> Limits {
         let view = self.state.view();
         view.catalog.as_ref().map_or_else(Limits::default, |catalog| catalog.declared().limits)
     }
 
-    /// A number for a send, different from all others of this process.
+    /// Returns a number for an attempt that is unique in this process.
     pub fn next_attempt_number(&self) -> u64 {
-        self.numbers.fetch_add(1, Ordering::Relaxed)
+        self.next_attempt.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Counts a request as in progress.
+    /// Counts a request as in progress until the result is dropped.
     pub fn start_request(self: &Arc<Self>) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(Arc::clone(self))
     }
 
-    /// Counts a connection as one to wait for.
+    /// Counts a connection as open until the result is dropped.
     pub fn track_connection(self: &Arc<Self>) -> OpenConnection {
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.open_connections.fetch_add(1, Ordering::Relaxed);
         OpenConnection(Arc::clone(self))
     }
 
-    /// Acts on a service's budget; nothing else does meanwhile.
+    /// Runs a function on a service's retry budget, under the lock.
     fn budget<T>(&self, service: &Service, act: impl FnOnce(&mut Budget) -> T) -> T {
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         act(budgets.entry(service.clone()).or_default())
     }
 
-    /// Takes in that a request for a service came, which earns sends beyond the first.
+    /// Records a request for a service, which adds to its retry budget.
     pub fn deposit_retry(&self, service: &Service) {
         let (now, terms) = (self.clock.now(), self.state.options().budget);
         self.budget(service, |budget| budget.record_request(now, &terms));
     }
 
-    /// Takes in that a request for a service came.
+    /// Records a request for a service in its demand.
     pub fn record_demand(&self, service: &Service) {
         let now = self.clock.now();
         let mut demands = self.demands.lock().unwrap_or_else(PoisonError::into_inner);
         demands.entry(service.clone()).or_default().record_arrival(now);
     }
 
-    /// How many requests a second other gateways are taken to get for a service:
-    /// each as many as this one.
+    /// Returns the estimated rate of requests that other gateways receive for a service, per
+    /// second: each as many as this one.
     pub fn competing_rate(&self, service: &Service, gateways: usize) -> f64 {
         let now = self.clock.now();
         let demands = self.demands.lock().unwrap_or_else(PoisonError::into_inner);
@@ -173,22 +175,23 @@
         own * gateways.saturating_sub(1) as f64
     }
 
-    /// Whether another send of a request is within the budget; counts it if it is.
+    /// Returns whether the retry budget allows another attempt of a request, and records the
+    /// attempt if it does.
     pub fn withdraw_retry(&self, service: &Service) -> bool {
         let (now, terms) = (self.clock.now(), self.state.options().budget);
         let gateways = self.state.view().gateways;
         self.budget(service, |budget| {
-            let affords = budget.allows_retry(now, &terms, gateways);
-            if affords {
+            let allowed = budget.allows_retry(now, &terms, gateways);
+            if allowed {
                 budget.record_retry(now);
             }
-            affords
+            allowed
         })
     }
 
-    /// How long a caller with this deadline has waited before this attempt.
+    /// Returns how long a caller with this timeout has waited before this attempt of the caller.
     pub fn waited_before(&self, route: &Route, deadline: Duration) -> Duration {
-        let mut usual = self.usual.lock().unwrap_or_else(PoisonError::into_inner);
-        usual.entry(route.name.clone()).or_default().observe(deadline)
+        let mut estimators = self.caller_timeouts.lock().unwrap_or_else(PoisonError::into_inner);
+        estimators.entry(route.name.clone()).or_default().observe(deadline)
     }
 }
--- a/src/cinderspoke/gateway/forward.rs
+++ b/src/cinderspoke/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! Bringing a request to endpoints until one answers.
+//! Handles one request of a caller: parses it and sends it to endpoints until one answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use super::record::Record;
 use super::refusal::{Body, RETRY_AFTER, Refusal, full};
 
-/// The least time in which an endpoint can do anything: less is not sent.
-const LEAST_LEFT: Duration = Duration::from_millis(25);
+/// Minimum remaining time for another attempt: an endpoint can do nothing in less.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(25);
 
-/// How often connecting may fail for one request.
-const MOST_UNSENT: u32 = 3;
+/// Maximum number of attempts of one request that were never sent.
+const MAX_UNSENT: u32 = 3;
 
-/// Answers one request.
+/// Handles one request and returns the response to the caller.
 pub async fn handle(context: &Arc<Context>, request: Request<Incoming>) -> Response<Body> {
     let (arrived, arrived_at) = (Instant::now(), context.clock.now());
     let (head, body) = request.into_parts();
@@ -45,7 +45,7 @@
         }
     };
     if let Some(id) = id {
-        mark(context, &mut response, &id);
+        add_id(context, &mut response, &id);
     }
     if context.is_draining() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -53,33 +53,33 @@
     response
 }
 
-/// Names the request in its answer; an answer of an endpoint does already.
-fn mark(context: &Context, response: &mut Response<Body>, id: &Id) {
+/// Adds the request's id to the response, unless the endpoint's answer has it already.
+fn add_id(context: &Context, response: &mut Response<Body>, id: &Id) {
     if !response.headers().iter().any(|(_, value)| value.as_bytes() == id.as_str().as_bytes()) {
         context.dialect.belongs_to(response.headers_mut(), id);
     }
 }
 
-/// Sends a request until an endpoint answers or nothing more may be tried.
+/// Sends a request until an endpoint answers or no further attempt is allowed.
 async fn forward(context: &Arc<Context>, parsed: Parsed, mut record: Record) -> Response<Body> {
     context.deposit_retry(&parsed.service);
     context.record_demand(&parsed.service);
     let mut attempts = Attempts::default();
-    let (why, retry_after) = loop {
+    let (stopped, retry_after) = loop {
         if let Some(left) = context.quarantine_left(&parsed) {
             record.quarantined(parsed.fingerprint());
-            break (Why::EndsEndpoints, left);
+            break (Stopped::Quarantined, left);
         }
         let selected = match attempts.choose(context, &parsed, &mut record).await {
             Ok(selected) => selected,
-            Err(retry_after) => break (Why::NoEndpoint, retry_after),
+            Err(retry_after) => break (Stopped::NoEndpoint, retry_after),
         };
         if attempts.history.sends() > 0 && !context.withdraw_retry(&parsed.service) {
-            break (Why::NoEndpoint, RETRY_AFTER);
+            break (Stopped::NoEndpoint, RETRY_AFTER);
         }
         attempts.tried.push(selected.target.name.clone());
         let sent = context.clock.now();
-        let (fate, failure) = match attempt(context, &parsed, &selected, &mut record).await {
+        let (outcome, failure) = match attempt(context, &parsed, &selected, &mut record).await {
             Attempt::Whole(response) => {
                 if response.status().is_success() {
                     context.record_served(&parsed);
@@ -90,52 +90,58 @@
             Attempt::Stream(head, stream) => {
                 return passthrough::respond(context, parsed, attempts, record, head, stream);
             }
-            Attempt::Failed(fate, failure) => (fate, failure),
+            Attempt::Failed(outcome, failure) => (outcome, failure),
         };
-        record.attempt_failed(&selected.target.name, fate);
-        if fate == Outcome::BrokenOff {
+        record.attempt_failed(&selected.target.name, outcome);
+        if outcome == Outcome::BrokenOff {
             crash::investigate(context, &parsed, &selected.target, sent).await;
         }
-        attempts.record(fate);
+        attempts.record(outcome);
         attempts.failed(failure);
         let repeatable = parsed.route.kind.repeatable();
-        let affordable = parsed.deadline.left() > LEAST_LEFT && attempts.unsent < MOST_UNSENT;
+        let affordable = parsed.deadline.left() > MIN_TIME_LEFT && attempts.unsent < MAX_UNSENT;
         if attempts.history.next(repeatable, parsed.route.attempts, affordable) != Next::Retry {
-            break (Why::NoEndpoint, RETRY_AFTER);
+            break (Stopped::NoEndpoint, RETRY_AFTER);
         }
     };
     if let Some(failure) = attempts.take_failure() {
         record.answered(failure.status());
         return failure.map(full);
     }
-    let refusal = unanswered(&parsed, attempts.history.guarantee(), why, retry_after);
+    let refusal = unanswered(&parsed, attempts.history.guarantee(), stopped, retry_after);
     record.refused(refusal.status, refusal.reason);
     context.refuse(&refusal)
 }
 
-/// Why nothing more is sent for a request.
+/// Stopped no further attempt is made for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Why {
-    /// No endpoint takes it, or it may not be sent again.
+enum Stopped {
+    /// No endpoint can take it, or it may not be sent again.
     NoEndpoint,
-    /// Endpoints end when they begin it.
-    EndsEndpoints,
+    /// It is quarantined because endpoints crashed while they ran it.
+    Quarantined,
 }
 
-impl Why {
+impl Stopped {
     const fn as_str(self) -> &'static str {
         match self {
             Self::NoEndpoint => "no endpoint can take the request now",
-            Self::EndsEndpoints => "endpoints ended when they began this request",
+            Self::Quarantined => "endpoints ended when they began this request",
         }
     }
 }
 
-/// The refusal of a request that no endpoint answered; says no more than is true.
-fn unanswered(parsed: &Parsed, promise: Guarantee, why: Why, retry_after: Duration) -> Refusal {
-    match promise {
-        Guarantee::NotRun => Refusal::not_run(why.as_str(), retry_after),
-        Guarantee::None if parsed.deadline.left() <= LEAST_LEFT => {
+/// Returns the refusal of a request that no endpoint answered; it guarantees that the request has
+/// not run only if that is certain.
+fn unanswered(
+    parsed: &Parsed,
+    guarantee: Guarantee,
+    stopped: Stopped,
+    retry_after: Duration,
+) -> Refusal {
+    match guarantee {
+        Guarantee::NotRun => Refusal::not_run(stopped.as_str(), retry_after),
+        Guarantee::None if parsed.deadline.left() <= MIN_TIME_LEFT => {
             Refusal::new(StatusCode::GATEWAY_TIMEOUT, "no answer came in time")
         }
         Guarantee::None => {
--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -67,13 +67,13 @@
 
 /// Sends an endpoint's outstanding requests to its agent, if the agent is known.
 async fn send_count(target: &Target, state: &State, socket: &UdpSocket, own: SocketAddr) {
-    let sent = state.clock().now();
+    let sent_at = state.clock().now();
     let (agent, outstanding, decided_before) = {
         let mut tracking = target.tracking();
-        let decided_before = tracking.load.pending.resolved_before(sent);
+        let decided_before = tracking.load.pending.resolved_before(sent_at);
         (tracking.agent, tracking.load.outstanding(), decided_before)
     };
     let Some(agent) = agent else { return };
-    let told = Datagram::Outstanding { from: own, outstanding, sent_at: sent, decided_before };
-    send(socket, agent, &pack(&told)).await;
+    let datagram = Datagram::Outstanding { from: own, outstanding, sent_at, decided_before };
+    send(socket, agent, &pack(&datagram)).await;
 }
--- a/src/cinderspoke/gateway/parse.rs
+++ b/src/cinderspoke/gateway/parse.rs
@@ -1,4 +1,4 @@
-//! Finding out what a request asks, and reading it whole.
+//! Resolves the route, team and service of a request and reads its body.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -19,36 +19,36 @@
 use super::refusal::{RETRY_AFTER, RETRY_AFTER_ELSEWHERE, Refusal};
 use crate::util::clock::Deadline;
 
-/// A request read whole, and what it asks.
+/// A request that was read whole, with its route and settings.
 pub struct Parsed {
-    /// What is known of it.
+    /// The fields that the gateway's protocol reads from the head.
     pub call: Call,
-    /// Its head, with the caller's headers.
+    /// The head, with the caller's headers.
     pub head: request::Parts,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Its route.
+    /// The route.
     pub route: Route,
-    /// The service that it goes to.
+    /// The service that the route selects for it.
     pub service: Service,
-    /// The caller's team.
+    /// The caller's team; none on a public route.
     pub team: Option<Team>,
-    /// How urgent it is.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Where it may be served, by the configuration under which it was read.
+    /// Where it may be served, by the configuration under which it was parsed.
     pub residency: Residency,
-    /// When it had come whole, by the gateway's clock. What its body took on the way is its own
-    /// time: limits on the wait for others count from here.
+    /// When the whole request had arrived, by the gateway's clock. Limits on the time that it
+    /// waits for other requests count from here: receiving the body is not part of that.
     pub arrived: Duration,
-    /// When its caller needs no answer any more.
+    /// The time after which the caller needs no answer.
     pub deadline: Deadline,
-    /// How long its caller had waited before this attempt.
+    /// How long the caller had waited before this attempt of the caller.
     pub waited: Duration,
-    /// Tells it apart from other requests; made when it is first needed.
+    /// The fingerprint that distinguishes it from other requests; computed on first use.
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
-/// Where a request goes, and for whom.
+/// The route and service of a request, and its team's settings.
 struct Destination {
     route: Route,
     service: Service,
@@ -57,11 +57,12 @@
     residency: Residency,
 }
 
-/// Finds out where a request may go, and reads it whole.
+/// Resolves where a request goes and reads its body. `arrived` is when its head was received, by
+/// the gateway's clock.
 ///
 /// # Errors
 ///
-/// When it may go nowhere, or does not come whole in time.
+/// If the request may not be served now, or is not received whole in time and within the limits.
 pub async fn receive(
     context: &Arc<Context>,
     call: Call,
@@ -71,7 +72,7 @@
     record: &mut Record,
 ) -> Result<Parsed, Refusal> {
     if context.is_closing() {
-        // It could not be finished before the process has to end.
+        // The request might not be finished before the process has to end.
         return Err(Refusal::not_run("the gateway is stopping", RETRY_AFTER_ELSEWHERE));
     }
     let view = context.state.view();
@@ -113,7 +114,7 @@
     })
 }
 
-/// Finds the route, the team and the service of a request.
+/// Resolves the route, the team and the service of a request.
 fn destination(catalog: &Catalog, call: &Call) -> Result<Destination, Refusal> {
     let Some(route) = catalog.route(&call.host, &call.path) else {
         return Err(Refusal::new(StatusCode::NOT_FOUND, "no route fits"));
@@ -134,7 +135,7 @@
     Ok(Destination { route: route.clone(), service, team, priority, residency })
 }
 
-/// Reads a body that is neither too large nor too late.
+/// Reads a body within the size limit and the deadline.
 async fn read_body(body: Incoming, limits: &Limits, deadline: &Deadline) -> Result<Bytes, Refusal> {
     let limit = usize::try_from(limits.body_bytes).unwrap_or(usize::MAX);
     let read = deadline.bound(Limited::new(body, limit).collect()).await;
--- a/src/cinderspoke/gateway/passthrough.rs
+++ b/src/cinderspoke/gateway/passthrough.rs
@@ -1,5 +1,5 @@
-//! Passing a stream on to its caller; when its endpoint falls silent, another
-//! one goes on with it.
+//! Forwards a stream to its caller and resumes it at another endpoint when its own endpoint stops
+//! sending or breaks off.
 
 use std::io;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 
-use super::answer::{end_to_end, is_encoded};
+use super::answer::{is_encoded, strip_hop_by_hop};
 use super::choose::{Attempts, Selected};
 use super::context::Context;
 use super::crash;
@@ -24,23 +24,23 @@
 use super::stream::{EventStream, Interrupted, Item};
 use crate::util::clock::Deadline;
 
-/// How long an endpoint may be silent in the middle of a stream before another
-/// one goes on with it: callers leave after two seconds.
-const SILENCE: Duration = Duration::from_millis(1100);
+/// Timeout between events of a stream after which another endpoint resumes it: callers give up
+/// after two seconds.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1100);
 
-/// A stream on its way to its caller.
+/// A stream being forwarded to its caller.
 struct Passthrough {
     context: Arc<Context>,
     parsed: Parsed,
     attempts: Attempts,
     record: Record,
     stream: Option<Box<EventStream>>,
-    // The last event that was passed on.
+    // The number of the last event that was forwarded.
     last: Option<u64>,
     status: StatusCode,
 }
 
-/// Makes the answer to a caller out of a stream that has begun.
+/// Returns the response to a caller for a stream that has begun.
 pub fn respond(
     context: &Arc<Context>,
     parsed: Parsed,
@@ -49,8 +49,8 @@
     head: response::Parts,
     stream: Box<EventStream>,
 ) -> Response<Body> {
-    let head = end_to_end(head);
-    // The send that runs counts as one that has run.
+    let head = strip_hop_by_hop(head);
+    // The running attempt counts as one that has run.
     attempts.record(Outcome::Lost);
     let last = parsed.call.last_event;
     let passthrough = Passthrough {
@@ -72,21 +72,21 @@
     });
     let body: Body = StreamBody::new(events).boxed_unsync();
     let mut response = Response::from_parts(head, body);
-    // Another endpoint may go on with another length.
+    // A stream that another endpoint resumes may have another length.
     response.headers_mut().remove(header::CONTENT_LENGTH);
     response
 }
 
 impl Passthrough {
-    /// The next events for the caller; none at the end.
+    /// Returns the next events for the caller; none at the end of the stream.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         loop {
-            let until = self.patient_until();
+            let until = self.next_event_deadline();
             let Some(stream) = &mut self.stream else {
                 return Some(Err(self.break_off("no endpoint could go on")));
             };
             match stream.next(&until).await {
-                Ok(Item::Events(events)) => return Some(self.pass(events)),
+                Ok(Item::Events(events)) => return Some(self.forward(events)),
                 Ok(Item::End) => {
                     if let Some(stream) = self.stream.take() {
                         stream.finish();
@@ -103,20 +103,20 @@
         }
     }
 
-    /// Until when the endpoint may be silent: where no other one could go on,
-    /// silence is no reason to end the stream.
-    fn patient_until(&self) -> Deadline {
+    /// Returns until when the next event has to be received. If no other endpoint could resume
+    /// the stream, only the request's deadline ends it.
+    fn next_event_deadline(&self) -> Deadline {
         let repeatable = self.parsed.route.kind.repeatable();
         let next = self.attempts.history.next(repeatable, self.parsed.route.attempts, true);
         if self.last.is_some() && next == Next::Retry {
-            self.context.clock.after(SILENCE).min(self.parsed.deadline)
+            self.context.clock.after(EVENT_TIMEOUT).min(self.parsed.deadline)
         } else {
             self.parsed.deadline
         }
     }
 
-    /// Passes events on, unless the caller has had them.
-    fn pass(&mut self, events: Events) -> io::Result<Bytes> {
+    /// Returns events to forward, unless the caller has received them before.
+    fn forward(&mut self, events: Events) -> io::Result<Bytes> {
         if let (Some(last), Some(new)) = (self.last, events.last_id)
             && new <= last
         {
@@ -127,14 +127,14 @@
         Ok(events.bytes.into())
     }
 
-    /// Ends the stream before its time.
-    fn break_off(&mut self, why: &'static str) -> io::Error {
+    /// Breaks the stream off and records the reason.
+    fn break_off(&mut self, reason: &'static str) -> io::Error {
         self.stream = None;
-        self.record.broken(why);
-        io::Error::other(why)
+        self.record.broken(reason);
+        io::Error::other(reason)
     }
 
-    /// Has another endpoint go on after the last whole event.
+    /// Resumes the stream at another endpoint, after the last whole event.
     async fn resume(&mut self, interrupted: Interrupted) {
         let Some(stream) = self.stream.take() else { return };
         stream.target().observe(Observation::Silence, self.context.clock.now());
@@ -144,7 +144,7 @@
                 .await;
         }
         drop(stream);
-        // Without a number there is nothing to go on after.
+        // A stream without event numbers cannot be resumed.
         let Some(last) = self.last else { return };
         loop {
             let resumable = self.parsed.route.kind.repeatable();
@@ -160,28 +160,32 @@
             }
             self.attempts.tried.push(selected.target.name.clone());
             let sent = self.context.clock.now();
-            match self.go_on(&selected, last).await {
+            match self.request_rest(&selected, last).await {
                 Ok(stream) => {
                     self.attempts.record(Outcome::Lost);
                     self.record.resumed();
                     self.stream = Some(stream);
                     return;
                 }
-                Err(fate) => {
-                    self.record.attempt_failed(&selected.target.name, fate);
-                    if fate == Outcome::BrokenOff {
+                Err(outcome) => {
+                    self.record.attempt_failed(&selected.target.name, outcome);
+                    if outcome == Outcome::BrokenOff {
                         crash::investigate(&self.context, &self.parsed, &selected.target, sent)
                             .await;
                     }
-                    self.attempts.record(fate);
+                    self.attempts.record(outcome);
                 }
             }
         }
     }
 
-    /// Asks an endpoint to go on after an event.
-    async fn go_on(&self, selected: &Selected, last: u64) -> Result<Box<EventStream>, Outcome> {
-        let until = start_deadline(&self.context, &self.parsed, selected, SILENCE);
+    /// Sends the request to an endpoint to continue after an event.
+    async fn request_rest(
+        &self,
+        selected: &Selected,
+        last: u64,
+    ) -> Result<Box<EventStream>, Outcome> {
+        let until = start_deadline(&self.context, &self.parsed, selected, EVENT_TIMEOUT);
         let answer = send(&self.context, &self.parsed, selected, Some(last), &until).await?;
         if answer.info.request.as_ref() != Some(&self.parsed.call.id) {
             return Err(Outcome::Lost);
@@ -191,7 +195,7 @@
             return Err(Outcome::Refused);
         }
         if is_encoded(&answer.head) {
-            // What follows would not be the rest of what the caller has.
+            // The encoded bytes would not continue what the caller has received.
             return Err(Outcome::Lost);
         }
         if !answer.head.status.is_success() || !answer.info.signed {
--- a/src/cinderspoke/gateway/query.rs
+++ b/src/cinderspoke/gateway/query.rs
@@ -76,18 +76,18 @@
         let Some((own, socket)) = self.socket.get() else { return number };
         let mut missing = 0;
         for target in targets {
-            let asked = clock.now();
+            let sent_at = clock.now();
             let agent = {
                 let mut tracking = target.tracking();
-                tracking.load.pending.record_query(number, asked);
+                tracking.load.pending.record_query(number, sent_at);
                 tracking.agent
             };
             // Agents listen on their engine's IP address, on the same port as gateways.
             let beside = || SocketAddr::new(target.pool.address().ip(), own.port());
             let agent = agent.unwrap_or_else(beside);
             missing += 1;
-            let ask = Datagram::Query { from: *own, number, sent_at: asked, prompt_tokens: prompt };
-            send(socket, agent, &pack(&ask)).await;
+            let query = Datagram::Query { from: *own, number, sent_at, prompt_tokens: prompt };
+            send(socket, agent, &pack(&query)).await;
         }
         let all = async {
             while missing > 0 && query.answers.recv().await.is_some() {
--- a/src/cinderspoke/gateway/record.rs
+++ b/src/cinderspoke/gateway/record.rs
@@ -1,4 +1,4 @@
-//! What is logged and counted of one request.
+//! The log line and the metrics of one request.
 
 use std::time::Duration;
 
@@ -19,19 +19,19 @@
 use super::context::InProgress;
 use crate::util::metrics::{ATTEMPTS, FIRST_BYTE, REQUESTS, REQUESTS_BY_SIZE};
 
-/// The bytes of a usual body: a few kilobytes take no longer than the shortest one.
-const USUAL_BODY: u64 = 4096;
+/// Usual size of a body, in bytes: a few kilobytes take no longer than the shortest body.
+const USUAL_BODY_BYTES: u64 = 4096;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Outcome {
-    /// Its caller left, or the process ended, before anything else.
+    /// The caller disconnected, or the process ended, before any other outcome.
     Left,
-    /// An endpoint's answer was passed on whole.
+    /// An endpoint's whole answer was forwarded.
     Answered,
-    /// An endpoint's answer broke off on the way to the caller.
+    /// An endpoint's answer broke off while it was forwarded.
     Broken,
-    /// We answered ourselves.
+    /// The gateway answered the request itself.
     Refused,
 }
 
@@ -46,44 +46,44 @@
     }
 }
 
-/// One request's record; it is logged when it is dropped.
+/// The record of one request; dropping it writes the log line and the metrics.
 pub struct Record {
-    // None where it cannot be read.
+    // None if the request has no readable id.
     id: Option<Request>,
     arrived: Instant,
-    /// The version of the configuration that decided.
+    /// The version of the configuration under which it was parsed.
     pub version: u64,
-    /// The name of its route.
+    /// The name of the route.
     pub route: String,
-    /// How long its caller had waited before; zero for a first attempt.
+    /// How long the caller had waited before; zero for the caller's first attempt.
     pub waited: Duration,
-    /// The time to the first byte or event within which an answer has its full worth.
+    /// The target of the time to the first byte or event.
     pub target_latency: Duration,
-    /// The longest pause between events that keeps the full worth.
+    /// The target of the longest pause between events.
     pub target_gap: Option<Duration>,
-    /// Its size in tokens, where it is for a model.
+    /// The size in tokens, if the request is for a model.
     pub size: Size,
-    /// The bytes of its body; none before it was read whole.
+    /// The size of the body in bytes; none before it was read whole.
     pub body_bytes: Option<u64>,
-    // What is usual where it goes; none where it is for no model.
+    // The usual size of the service's requests; none if it is no model engine.
     usual: Option<Size>,
-    // Why it was refused, where an endpoint could have taken it.
+    // The best candidate, if the request was refused although there were candidates.
     best: Option<BestCandidate>,
     endpoint: Option<Endpoint>,
-    // The version that it was last sent for, and how much longer that could begin
-    // requests then; none while it was the newest.
+    // The version of the weights that the last attempt was sent for, and how much longer requests
+    // could begin on it then; none while it was the newest.
     weights: Option<Version>,
     weights_left: Option<Duration>,
     predicted: Option<Duration>,
     candidates: usize,
-    // How many agents were asked what their engines hold.
+    // How many agents were queried.
     queried: usize,
     sends: u32,
     resumes: u32,
-    // What it is known by, where it was held back.
+    // The fingerprint, if the request was quarantined.
     quarantined: Option<Fingerprint>,
     first: Option<Duration>,
-    // When the last events were passed on, and the longest pause between any.
+    // When the last events were forwarded, and the longest pause between events.
     last_events: Option<Instant>,
     gap: Duration,
     status: Option<StatusCode>,
@@ -93,7 +93,7 @@
 }
 
 impl Record {
-    /// A record of a request that has just arrived.
+    /// Creates the record of a request that has just arrived.
     #[must_use]
     pub fn new(id: Option<Request>, arrived: Instant, in_progress: InProgress) -> Self {
         Self {
@@ -127,21 +127,21 @@
         }
     }
 
-    /// The request's id for the log.
+    /// Returns the request's id for the log.
     fn id(&self) -> Option<&str> {
         self.id.as_ref().map(Request::as_str)
     }
 
-    /// Takes in that an endpoint was chosen.
+    /// Records that an endpoint was selected for an attempt.
     pub fn selected(&mut self, selected: &Selected, candidates: usize) {
         self.endpoint = Some(selected.target.name.clone());
         (self.weights, self.weights_left) = (selected.version, selected.version_left);
-        self.predicted = Some(selected.expected_ttfb);
+        self.predicted = Some(selected.expected_ttft);
         self.candidates = candidates;
         self.sends += 1;
     }
 
-    /// Records what the service's engines, if they are model engines, are usually asked for.
+    /// Sets the usual size of the service's requests, if its endpoints are model engines.
     pub fn set_usual_size(&mut self, engine: Option<&Engine>) {
         self.usual = engine.map(|engine| Size {
             prompt: engine.usual_prompt,
@@ -150,17 +150,17 @@
         });
     }
 
-    /// Takes in how many agents were asked before a choice.
+    /// Sets how many agents were queried before a choice.
     pub fn set_queried(&mut self, agents: usize) {
         self.queried = agents;
     }
 
-    /// Takes in that it may not be sent, as endpoints end under it.
+    /// Records that the request is quarantined because endpoints crashed while they ran it.
     pub fn quarantined(&mut self, fingerprint: Fingerprint) {
         self.quarantined = Some(fingerprint);
     }
 
-    /// Takes in that no endpoint was chosen.
+    /// Records and logs that no endpoint was selected.
     pub fn no_endpoint(&mut self, unavailable: Unavailable) {
         let Unavailable { members, excluded, candidates, best } = unavailable;
         self.candidates = candidates;
@@ -186,9 +186,9 @@
         );
     }
 
-    /// Takes in that a send brought no success.
-    pub fn attempt_failed(&mut self, endpoint: &Endpoint, fate: attempt::Outcome) {
-        let label = match fate {
+    /// Logs and counts an attempt that did not succeed.
+    pub fn attempt_failed(&mut self, endpoint: &Endpoint, outcome: attempt::Outcome) {
+        let label = match outcome {
             attempt::Outcome::NotSent => "not-sent",
             attempt::Outcome::Refused => "refused",
             attempt::Outcome::Lost => "lost",
@@ -201,7 +201,7 @@
         tracing::info!(id = self.id(), %endpoint, fate = label, after_ms, "a send failed");
     }
 
-    /// Takes in that the first byte or event of an answer is there.
+    /// Records that the first byte or event of an answer was received.
     pub fn first_byte(&mut self) {
         if self.first.is_none() {
             let first = self.arrived.elapsed();
@@ -210,37 +210,37 @@
         }
     }
 
-    /// Takes in that events are passed on.
+    /// Records that events are forwarded.
     pub fn events_sent(&mut self) {
         let now = Instant::now();
         let gap = self.last_events.replace(now).map_or(Duration::ZERO, |last| now - last);
         self.gap = self.gap.max(gap);
     }
 
-    /// Takes in that a stream goes on at another endpoint.
+    /// Records that another endpoint resumed the stream.
     pub fn resumed(&mut self) {
         self.resumes += 1;
     }
 
-    /// Takes in that an endpoint's answer was passed on whole.
+    /// Records that an endpoint's whole answer was forwarded.
     pub fn answered(&mut self, status: StatusCode) {
         self.first_byte();
         self.status = Some(status);
         self.outcome = Outcome::Answered;
     }
 
-    /// Takes in that a stream broke off.
+    /// Records that a stream broke off.
     pub fn broken(&mut self, why: &'static str) {
         self.why = why;
         self.outcome = Outcome::Broken;
     }
 
-    /// Takes in that the request cannot be understood.
+    /// Logs that the request cannot be parsed.
     pub fn invalid(&self, misfit: &Misfit) {
         tracing::info!(id = self.id(), %misfit, "request cannot be understood");
     }
 
-    /// Takes in that we answered ourselves.
+    /// Records that the gateway answered the request itself.
     pub fn refused(&mut self, status: StatusCode, why: &'static str) {
         self.status = Some(status);
         self.why = why;
@@ -249,7 +249,7 @@
 }
 
 impl Record {
-    /// Counts the request by each of its sizes that is known.
+    /// Counts the request by each of its known sizes.
     fn count_by_size(&self) {
         let outcome = self.outcome.as_str();
         let count = |of: &'static str, class: Class| {
@@ -261,12 +261,12 @@
             count("answer", Class::of(self.size.max_answer.into(), usual.max_answer.into()));
         }
         if let Some(bytes) = self.body_bytes {
-            count("body", Class::of(bytes, USUAL_BODY));
+            count("body", Class::of(bytes, USUAL_BODY_BYTES));
         }
     }
 }
 
-/// A time in whole milliseconds, as logs have it.
+/// Converts a duration to whole milliseconds for the log.
 fn ms(time: Option<Duration>) -> Option<u64> {
     time.map(|time| time.as_millis() as u64)
 }
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to an endpoint, up to the head of the answer.
+//! Sends a request to an endpoint and receives the head of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,39 +21,39 @@
 use super::target::Target;
 use crate::util::clock::Deadline;
 
-/// The largest answer that is held until it is whole.
+/// Maximum size of an answer that is buffered whole, in bytes.
 pub const MAX_BUFFERED_ANSWER: usize = 8 << 20;
 
-/// How much later than expected a request may begin on an old version; less than
-/// the margin that is kept when it is sent.
-const BEGIN_MARGIN: Duration = Duration::from_millis(400);
+/// How long after a version's last start time a request on it is given up; less than the margin
+/// that is kept when the request is sent.
+const VERSION_MARGIN: Duration = Duration::from_millis(400);
 
-/// How much longer than twice what is expected an answer over a connection that had
-/// rested may take at least: as long as the first event of a stream.
-const STALE: Duration = Duration::from_millis(1300);
+/// Added to twice the expected time for an answer over a reused connection: as much as for the
+/// first event of a stream.
+const STALE_SLACK: Duration = Duration::from_millis(1300);
 
-/// How long the rest of a refusal may take to come.
-const REFUSAL: Duration = Duration::from_millis(100);
+/// Timeout of receiving the body of a refusal.
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A request at an endpoint, counted there until it is dropped.
+/// A request sent to an endpoint, counted as outstanding there until it is dropped.
 pub struct Sent {
     /// The endpoint.
     pub target: Arc<Target>,
-    /// When it was sent, by the gateway's clock.
+    /// When the request was sent, by the gateway's clock.
     pub sent_at: Duration,
     number: u64,
-    // Where its agent's news are gathered.
+    // Collects the changes to publish to the endpoint's agent.
     changes: Arc<Changes>,
 }
 
 impl Sent {
-    /// Counts a request as sent to an endpoint.
+    /// Counts a request as outstanding at an endpoint; this uses up its reservation.
     fn new(context: &Context, parsed: &Parsed, selected: &Selected) -> Self {
         let (number, target) = (context.next_attempt_number(), Arc::clone(&selected.target));
         let (prompt, now) = (parsed.call.size.prompt, context.clock.now());
         {
             let load = &mut target.tracking().load;
-            load.record_sent(number, prompt, selected.expected_ttfb, now);
+            load.record_sent(number, prompt, selected.expected_ttft, now);
             selected.reservation.iter().for_each(|number| load.pending.resolve(*number));
         }
         let changes = context.state.outstanding_changes();
@@ -61,13 +61,13 @@
         Self { target, sent_at: now, number, changes }
     }
 
-    /// Takes in that the answer has begun.
+    /// Records that the answer has begun.
     pub fn started(&self) {
         self.target.tracking().load.record_first_token(self.number);
         self.changes.add(&self.target);
     }
 
-    /// Ends the request at the endpoint, which stays of use to the caller.
+    /// Ends the count of the request and returns the endpoint.
     #[must_use]
     pub fn finish(self) -> Arc<Target> {
         Arc::clone(&self.target)
@@ -81,26 +81,26 @@
     }
 }
 
-/// An answer whose head is there.
+/// An answer of which the head has been received.
 pub struct Answer {
-    /// Its head.
+    /// The head.
     pub head: response::Parts,
-    /// What its head says.
+    /// The protocol's fields in the head.
     pub info: AnswerHead,
-    /// Its body, of which nothing was read yet.
+    /// The body, of which nothing was read yet.
     pub body: Incoming,
-    /// The connection that it comes over.
+    /// The connection that carries it.
     pub connection: Connection,
-    /// The request at the endpoint.
+    /// The outstanding request.
     pub sent: Sent,
 }
 
-/// Sends a request and waits for the head of the answer; `after` is the last
-/// event that the caller has, if another endpoint gave it.
+/// Sends a request and waits for the head of the answer; `after` is the last event that the
+/// caller has received, if another endpoint sent it.
 ///
 /// # Errors
 ///
-/// What became of the request when no head came in time.
+/// The outcome of the attempt, if no head is received in time.
 pub async fn send(
     context: &Context,
     parsed: &Parsed,
@@ -109,7 +109,7 @@
     until: &Deadline,
 ) -> Result<Answer, Outcome> {
     let target = &selected.target;
-    // Not before: what was chosen may still be refused for want of budget.
+    // The probe is used up only here: after the choice the retry budget may still refuse.
     target.tracking().health.start_probe(context.clock.now());
     let Checkout { mut connection, reused } = match target.pool.checkout().await {
         Ok(taken) => taken,
@@ -145,17 +145,17 @@
     }
 }
 
-/// After how long without an answer a connection that had rested is taken to have gone
-/// silent, where the request may be sent once more.
+/// Returns after how long without an answer a reused connection counts as stale; none if the
+/// request may not be repeated.
 ///
-/// Nothing tells a silent connection from a slow endpoint. Half of the time that is left is
-/// kept for a new one; without it, such a request waits for all of it in vain.
+/// A stale connection cannot be distinguished from a slow endpoint. Half of the remaining time is
+/// kept for a new connection; otherwise such a request would wait for all of it and fail.
 fn stale_after(parsed: &Parsed, selected: &Selected) -> Option<Duration> {
-    let patience = (selected.expected_ttfb * 2 + STALE).min(parsed.deadline.left() / 2);
-    parsed.route.kind.repeatable().then_some(patience)
+    let timeout = (selected.expected_ttft * 2 + STALE_SLACK).min(parsed.deadline.left() / 2);
+    parsed.route.kind.repeatable().then_some(timeout)
 }
 
-/// The request as the endpoint gets it.
+/// Builds the request for the endpoint.
 fn request(
     context: &Context,
     parsed: &Parsed,
@@ -179,22 +179,23 @@
     request
 }
 
-/// Until when a request has to have begun, so that it is not tried elsewhere: it may take twice
-/// what is expected of it, which is longer the larger it is, and some slack.
+/// Returns until when an answer has to begin before the request is retried elsewhere: twice the
+/// expected time, which grows with the size of the request, plus `slack`.
 pub fn start_deadline(
     context: &Context,
     parsed: &Parsed,
     selected: &Selected,
     slack: Duration,
 ) -> Deadline {
-    let patience = slack.saturating_add(selected.expected_ttfb * 2);
-    // What has not begun by then may not begin on the old version any more.
-    let version_ends = selected.version_left.map_or(Duration::MAX, |left| left + BEGIN_MARGIN);
-    let patience = patience.min(version_ends);
-    context.clock.after(patience).min(parsed.deadline)
+    let timeout = slack.saturating_add(selected.expected_ttft * 2);
+    // A request that has not begun by then may no longer begin on the old version.
+    let version_ends = selected.version_left.map_or(Duration::MAX, |left| left + VERSION_MARGIN);
+    let timeout = timeout.min(version_ends);
+    context.clock.after(timeout).min(parsed.deadline)
 }
 
-/// Takes in that an endpoint has refused a request without running it.
+/// Records that an endpoint refused a request without running it, and reuses the connection if
+/// the rest of the refusal is received in time.
 pub async fn record_refusal(context: &Context, parsed: &Parsed, answer: Answer) {
     let Answer { head, info, body, connection, sent } = answer;
     let target = &sent.target;
@@ -206,12 +207,14 @@
         rest_ms = info.rest.map(|rest| rest.as_millis() as u64),
         "an endpoint refused a request"
     );
-    if let Ok(Ok(_)) = timeout(REFUSAL, Limited::new(body, MAX_BUFFERED_ANSWER).collect()).await {
+    if let Ok(Ok(_)) =
+        timeout(REFUSAL_BODY_TIMEOUT, Limited::new(body, MAX_BUFFERED_ANSWER).collect()).await
+    {
         target.pool.check_in(connection, keep_alive_timeout(&head.headers));
     }
 }
 
-/// How long the endpoint lets the connection rest, in whole seconds as it says.
+/// Returns the idle timeout of a connection, in whole seconds, from the `keep-alive` header.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let number = text.split(',').find_map(|part| {
--- a/src/cinderspoke/gateway/serve.rs
+++ b/src/cinderspoke/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! Listening: callers' connections, and what the platform asks.
+//! HTTP servers for callers, and for the platform's readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,19 +20,19 @@
 use super::forward;
 use super::head::{AnswerBody, Progress, Stream};
 
-/// How much longer than callers let a connection rest it is kept.
+/// Added to the idle timeout of callers, so that the caller closes an idle connection first.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// How long to wait when no connection can be accepted, such as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failure to accept a connection, such as for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// After how long without an acknowledgement a caller is taken to be gone.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(10);
+/// Time without a TCP acknowledgement after which a caller counts as disconnected.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The smallest buffer that the library allows for a request's head.
-const LEAST_HEAD: usize = 8 << 10;
+/// Minimum size of the buffer for a request's head that hyper allows, in bytes.
+const MIN_HEAD_BUFFER: usize = 8 << 10;
 
-/// Takes callers' connections until the token is cancelled.
+/// Accepts callers' connections until the token is cancelled.
 pub async fn callers(listener: TcpListener, context: Arc<Context>, token: CancellationToken) {
     loop {
         let accepted = tokio::select! {
@@ -46,31 +46,30 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "a connection could not be accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Answers the requests of one connection.
+/// Serves the requests of one connection.
 ///
-/// One on which no request has come when connections are closed is kept for its
-/// first, which may be on its way: the library would take it for one at rest. A
-/// stop waits for it only from that request on, so that one without any does not
-/// hold it up.
+/// If no request has been received when connections are closed, the connection is kept for its
+/// first request, which may be in flight: hyper would treat it as idle. A stop waits for the
+/// connection only from that request on, so that a connection without requests does not delay it.
 async fn caller(stream: TcpStream, context: Arc<Context>) {
     let prepared = stream
         .set_nodelay(true)
-        .and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED)));
+        .and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)));
     if let Err(error) = prepared {
         tracing::debug!(%error, "a caller's connection has ended already");
         return;
     }
     let limits = context.limits();
-    let late = context.is_closing();
-    let waited_for = Arc::new(Mutex::new((!late).then(|| context.track_connection())));
-    let asked = CancellationToken::new();
-    let (answers, opened, first) = (Arc::clone(&context), Arc::clone(&waited_for), asked.clone());
+    let accepted_late = context.is_closing();
+    let open = Arc::new(Mutex::new((!accepted_late).then(|| context.track_connection())));
+    let requested = CancellationToken::new();
+    let (answers, opened, first) = (Arc::clone(&context), Arc::clone(&open), requested.clone());
     let progress = Progress::default();
     let stream = Stream::new(stream, progress.clone(), limits.header);
     let service = service_fn(move |request| {
@@ -85,23 +84,24 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // Counts from the end of the last answer, so it bounds rest. Heads have less time.
+        // Counted from the end of the last response, so this is the idle timeout. Heads have a
+        // shorter one of their own.
         .header_read_timeout(limits.idle + IDLE_MARGIN)
-        .max_buf_size((limits.header_bytes as usize).max(LEAST_HEAD))
-        // A connection that still comes late in a stop is for one answer: closed
-        // unread, its request would be lost.
-        .keep_alive(!late)
+        .max_buf_size((limits.header_bytes as usize).max(MIN_HEAD_BUFFER))
+        // A connection accepted late in a stop serves one request: if it were closed unread, the
+        // request would be lost.
+        .keep_alive(!accepted_late)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = context.wait_closing(), if !late => {
-            if !asked.is_cancelled() {
-                lock(&waited_for).take();
+        () = context.wait_closing(), if !accepted_late => {
+            if !requested.is_cancelled() {
+                lock(&open).take();
             }
             tokio::select! {
                 biased;
-                () = asked.cancelled() => {
+                () = requested.cancelled() => {
                     connection.as_mut().graceful_shutdown();
                     connection.await
                 }
@@ -114,9 +114,9 @@
     }
 }
 
-/// A connection's place among those that a stop waits for.
-fn lock(waited_for: &Mutex<Option<OpenConnection>>) -> MutexGuard<'_, Option<OpenConnection>> {
-    waited_for.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a connection's count among those that a stop waits for.
+fn lock(open: &Mutex<Option<OpenConnection>>) -> MutexGuard<'_, Option<OpenConnection>> {
+    open.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Serves a router until the token is cancelled.
@@ -127,7 +127,7 @@
     }
 }
 
-/// What the platform asks: whether the gateway is ready, and its metrics.
+/// Returns the router for the platform: the readiness check and the metrics.
 pub fn admin(context: Arc<Context>, metrics: Option<PrometheusHandle>) -> Router {
     let ready = move || async move {
         if context.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
@@ -135,7 +135,7 @@
     Router::new().route("/readyz", get(ready)).merge(metrics_router(metrics))
 }
 
-/// The process's metrics, where they are collected.
+/// Returns the router for the process's metrics, which are empty if none are collected.
 pub fn metrics_router(metrics: Option<PrometheusHandle>) -> Router {
     let scrape = || async move { metrics.map(|metrics| metrics.render()).unwrap_or_default() };
     Router::new().route("/metrics", get(scrape))
