--- a/src/cinderspoke/gateway/draw.rs
+++ b/src/cinderspoke/gateway/draw.rs
@@ -11,14 +11,14 @@
 /// Tells that a configuration came whole, from a gateway at an address or from the store.
 pub fn came(source: &'static str, from: &str, version: u64, progress: &Progress) {
     let (bytes, took_ms) = count(source, progress);
-    tracing::info!(version, source, from, bytes, took_ms, "configuration drawn");
+    tracing::info!(version, source, from, bytes, took_ms, "configuration fetched");
 }
 
 /// Tells that an answer was given up of which a part had come.
 pub fn given_up(kind: &'static str, progress: &Progress) {
     if progress.bytes() >= PART {
         let (bytes, took_ms) = count("given-up", progress);
-        tracing::info!(kind, bytes, took_ms, "an answer was given up midway");
+        tracing::info!(kind, bytes, took_ms, "a response was abandoned midway");
     }
 }
 
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -95,7 +95,7 @@
                 self.state.request_resync();
             }
             if let Err(error) = self.fetch(gateway, pause).await {
-                tracing::debug!(%gateway, error = format!("{error:#}"), "asking a gateway");
+                tracing::debug!(%gateway, error = format!("{error:#}"), "fetching facts from a gateway failed");
             }
         }
     }
@@ -152,7 +152,7 @@
         }
         let pause = if is_near { NEAR_PAUSE } else { FAR_PAUSE };
         if let Err(error) = self.fetch(from, pause).await {
-            tracing::debug!(%from, error = format!("{error:#}"), "asking a gateway");
+            tracing::debug!(%from, error = format!("{error:#}"), "fetching facts from a gateway failed");
         }
     }
 
@@ -162,7 +162,7 @@
         let (_, held) = self.state.configuration_identity();
         let facts = self.ask(from, pause, held).await?;
         if let Err(misfit) = self.take_in(facts) {
-            tracing::warn!(%from, %misfit, "a configuration does not fit");
+            tracing::warn!(%from, %misfit, "a configuration difference cannot be applied");
             self.take_in(self.ask(from, pause, Hash::default()).await?)?;
         }
         Ok(())
--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -373,7 +373,7 @@
             }
             Err(error) => {
                 failures += 1;
-                tracing::debug!(%error, "the store does not know of this gateway yet");
+                tracing::debug!(%error, "registering this gateway with the store failed");
                 sleep(backoff(&error, failures)).await;
             }
         }
--- a/src/cinderspoke/gateway/message.rs
+++ b/src/cinderspoke/gateway/message.rs
@@ -240,14 +240,14 @@
         let received = match socket.recv_from(buffer).await {
             Ok((length, _)) => postcard::from_bytes(&buffer[..length]),
             Err(error) => {
-                tracing::debug!(%error, "receiving a datagram");
+                tracing::debug!(%error, "receiving a datagram failed");
                 sleep(RECEIVE_PAUSE).await;
                 continue;
             }
         };
         match received {
             Ok(datagram) => return datagram,
-            Err(error) => tracing::debug!(%error, "a datagram cannot be read"),
+            Err(error) => tracing::debug!(%error, "a datagram cannot be decoded"),
         }
     }
 }
--- a/src/cinderspoke/gateway/mod.rs
+++ b/src/cinderspoke/gateway/mod.rs
@@ -119,7 +119,7 @@
     ///
     /// When it is no gateway by its settings, or cannot listen to an address.
     pub async fn bind(settings: &settings::Node, parts: Parts) -> Result<Self> {
-        let listen = settings.listen.as_ref().context("the settings name no place to listen")?;
+        let listen = settings.listen.as_ref().context("the settings have no listen addresses")?;
         let clock = Clock::start();
         let options = Options::new(settings);
         let state = Arc::new(State::new(settings, options, clock));
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -20,7 +20,7 @@
     pub fn observe_answer_head(&self, parsed: &Parsed, target: &Arc<Target>, said: &AnswerHead) {
         if said.leaves && !target.is_draining() {
             let (id, endpoint) = (&parsed.call.id, &target.name);
-            tracing::info!(%id, %endpoint, "an endpoint says that it leaves");
+            tracing::info!(%id, %endpoint, "an endpoint announced that it is draining");
             self.state.record_drain(target.run, "answer");
         }
         if let Some(cold) = said.cold {
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -29,7 +29,7 @@
         let is_news = inner.lag.record(version, now) && version > in_force;
         drop(inner);
         if is_news {
-            tracing::info!(version, in_force, %from, "a newer configuration is known");
+            tracing::info!(version, in_force, %from, "a newer configuration was announced");
         }
         is_new
     }
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -259,8 +259,8 @@
             if role != before {
                 let behind_ms = self.state.configuration_behind().as_millis() as u64;
                 match role {
-                    Role::Reader => tracing::info!(behind_ms, "configuration is read here"),
-                    Role::Follower => tracing::info!(behind_ms, "configuration is had from others"),
+                    Role::Reader => tracing::info!(behind_ms, "configuration is read from the store here"),
+                    Role::Follower => tracing::info!(behind_ms, "configuration is received from other gateways"),
                 }
             }
             if role == before
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -98,7 +98,7 @@
         let inner = self.lock();
         let (before, gateways) = (self.view.load_full(), self.count_gateways(&inner));
         if before.gateways != gateways {
-            tracing::info!(gateways, before = before.gateways, "gateways counted anew");
+            tracing::info!(gateways, before = before.gateways, "number of gateways changed");
             self.view.store(Arc::new(View { gateways, ..View::clone(&before) }));
         }
     }
@@ -214,7 +214,7 @@
         let behind_ms = inner.lag.behind(before, now).as_millis() as u64;
         let unknown = catalog.unknown_regions(|region| self.is_region(region));
         if !unknown.is_empty() {
-            tracing::warn!(version, ?unknown, "routes or teams name regions that nobody knows");
+            tracing::warn!(version, ?unknown, "routes or teams name regions that the settings do not");
         }
         inner.set_catalog(Arc::new(catalog), revision);
         self.rebuild_view(&mut inner);
@@ -274,7 +274,7 @@
         }
         drop(inner);
         let last_ms = answers.first().map(|ago| Duration::from(*ago).as_millis() as u64);
-        tracing::info!(last_ms, "only this gateway was cut off");
+        tracing::info!(last_ms, "the outage affected only this gateway");
         self.change_directory("gateway", Tracker::record_local_outage);
     }
 
@@ -364,7 +364,7 @@
             inner.discovered_at = now;
         }
         if !known || (itself && !alive) {
-            tracing::info!(%gateway, itself, "gateway heard of");
+            tracing::info!(%gateway, itself, "gateway discovered");
             self.rebuild_view(&mut inner);
         }
         !known
@@ -417,7 +417,7 @@
     pub(super) fn drain_runs(&self, inner: &mut Inner, runs: &[Run], from: &str) {
         for target in inner.targets.values().filter(|target| runs.contains(&target.run)) {
             target.set_draining();
-            tracing::info!(endpoint = %target.name, from, "endpoint leaves");
+            tracing::info!(endpoint = %target.name, from, "endpoint is draining");
         }
         self.rebuild_view(inner);
     }
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -137,7 +137,7 @@
             self.suspects().pending.set(fingerprint, false);
         }
         if news != Change::None {
-            tracing::info!(%fingerprint, "a suspected request was served");
+            tracing::info!(%fingerprint, "a suspect request was served");
             self.publish();
         }
     }
@@ -147,7 +147,7 @@
         match self.suspects().admit(fingerprint, self.clock().now()) {
             Admission::Pass => None,
             Admission::Probe => {
-                tracing::info!(%fingerprint, "a request that was held back is tried");
+                tracing::info!(%fingerprint, "a quarantined request is sent as a probe");
                 self.publish();
                 None
             }
@@ -163,7 +163,7 @@
         };
         let found: Vec<_> = requests.iter().filter(news).collect();
         for fingerprint in &found {
-            tracing::info!(%fingerprint, "a request is held back, as the store tells");
+            tracing::info!(%fingerprint, "a request is quarantined according to the store");
         }
         if !found.is_empty() {
             self.publish();
@@ -174,7 +174,7 @@
     pub fn merge_suspects(&self, told: &[Update]) {
         let merged = self.suspects().merge(told, self.clock().now());
         for fingerprint in &merged.quarantined {
-            tracing::info!(%fingerprint, "a request is held back, as other gateways tell");
+            tracing::info!(%fingerprint, "a request is quarantined according to other gateways");
         }
         for fingerprint in &merged.witnessed {
             self.suspects().pending.set(*fingerprint, true);
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -83,7 +83,7 @@
         self.rebuild_view(&mut inner);
         let ages = inner.timeline.ages(self.clock().now());
         drop(inner);
-        tracing::info!(?ages, from, "versions named");
+        tracing::info!(?ages, from, "versions changed");
         self.publish();
     }
 
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -36,9 +36,9 @@
         let zones = inner.evacuation.known().cloned().unwrap_or_default().value;
         let unknown: Vec<_> = zones.iter().filter(|zone| !self.is_zone(zone)).collect();
         if !unknown.is_empty() {
-            tracing::warn!(?unknown, "zones are emptied that the settings do not name");
+            tracing::warn!(?unknown, "evacuated zones are missing from the settings");
         }
-        tracing::info!(?zones, from, "emptied zones changed");
+        tracing::info!(?zones, from, "evacuated zones changed");
         drop(inner);
         self.publish();
     }
