--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -1,4 +1,5 @@
-//! Learning from the platform's store, one task for each kind of fact: a [`source`].
+//! Follows the platform's store: one task for each [`source`], a kind of data, reads it and then
+//! watches it for changes.
 //!
 //! [`source`]: super::source
 
@@ -22,36 +23,35 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-use super::draw;
+use super::fetch_log;
 use super::source::{
-    Answer, Configuration, Endpoints, Evacuations, LOOK_AT_ROLE, Shared, Source, Versions,
+    Answer, Configuration, Endpoints, Evacuations, ROLE_POLL, Shared, Source, Versions,
 };
 use super::state::State;
 use crate::util::clock::Clock;
 use crate::util::settings::inner_address;
 use crate::util::stop;
 
-/// How long to stay away after a failure, at first.
+/// The back-off after the first failure of a call to the store.
 const FIRST_BACKOFF: Duration = Duration::from_millis(120);
 
-/// How long to stay away after a failure, at most: news must not come late once
-/// the platform is back, and entries that lapsed have 2 s from its return to be back of the
-/// 2.85 s for which they are kept from the last failure on.
+/// The maximum back-off after failures. Changes must arrive soon after an outage, and expired
+/// entries have 2 s from the end of the outage to return, of the 2.85 s for which they are
+/// retained from the last failure on.
 const LAST_BACKOFF: Duration = Duration::from_millis(500);
 
-/// How often the time to stay away is doubled at most.
-const MOST_DOUBLINGS: u32 = 4;
+/// The maximum number of times that the back-off is doubled.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// By how much the time to stay away differs from one gateway to the next.
-const SPREAD: Range<f64> = 0.7..1.3;
+/// The random factor of the back-off, so that gateways do not retry simultaneously.
+const JITTER: Range<f64> = 0.7..1.3;
 
-/// How long an answer that is on its way may bring nothing more: some round trips of a link
-/// on which packets are lost.
-const PAUSE: Duration = Duration::from_millis(600);
+/// The idle timeout of a response that has begun: some round trips of a link with packet loss.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a gateway that starts waits for the word of others before it asks the store who
-/// they are.
-const ALONE: Duration = Duration::from_millis(600);
+/// How long a starting gateway waits for digests of other gateways before it reads the list of
+/// gateways from the store.
+const DISCOVERY_DELAY: Duration = Duration::from_millis(600);
 
 /// Starts the tasks that follow the store.
 pub fn spawn(
@@ -73,37 +73,37 @@
         let state = Arc::clone(state);
         tokio::spawn(stop::until(token.clone(), follow(source, state)));
     }
-    tokio::spawn(stop::until(token.clone(), settle(Arc::clone(state))));
+    tokio::spawn(stop::until(token.clone(), expire_retained(Arc::clone(state))));
     let own = inner_address(settings);
-    let meet = meet(shared(), settings.instance.to_string(), own);
-    tokio::spawn(stop::until(token, meet));
+    let register = register(shared(), settings.instance.to_string(), own);
+    tokio::spawn(stop::until(token, register));
 }
 
-/// A call to the store that is under way.
+/// A call to the store in progress.
 type Call<'a> = BoxFuture<'a, Result<Answer<'a>, Error>>;
 
-/// What became of waiting for the store.
-enum Asked<'a> {
-    /// It answered, the newest call or a late one.
+/// The outcome of waiting for the store.
+enum Outcome<'a> {
+    /// The newest call or a late one was answered.
     Answered(Answer<'a>),
     /// The newest call failed.
     Failed(Error),
-    /// Nothing came in time, which is how long was waited; the newest call is late now.
-    Silent(Duration),
-    /// The newest call was given up for another one.
-    Overtaken,
-    /// The newest call was given up since nothing is expected of it any more.
+    /// The newest call timed out after this time and counts as late now.
+    TimedOut(Duration),
+    /// The newest call was abandoned for another one, since a resync was requested.
+    Resync,
+    /// The newest call was abandoned since its answer is no longer needed.
     Needless,
 }
 
-/// Reads a kind of fact and then watches it, whatever fails.
+/// Reads a kind of data and then watches it, with retries after failures.
 async fn follow(source: Box<dyn Source>, state: Arc<State>) {
     let clock = state.clock();
     let mut revision = None;
-    // Whether the store has dropped its history, so that all has to be read.
+    // Whether the store has dropped the history after `revision`, so that a full read is needed.
     let mut is_forgotten = false;
     let mut watch = Watch::new(clock.now());
-    // Calls that are late, the oldest first.
+    // Calls that timed out and may still be answered, oldest first.
     let mut late: VecDeque<Call<'_>> = VecDeque::new();
     source.start().await;
     loop {
@@ -111,31 +111,31 @@
         let mut wait = watch.wait(askers, draw);
         let is_known = revision.or(source.known()).is_some() && !is_forgotten;
         if is_known && source.role() == Role::Follower {
-            pass(watch.poll_interval(askers, draw), &*source, clock).await;
+            wait_for_poll(watch.poll_interval(askers, draw), &*source, clock).await;
             watch.record_pause();
             wait = Duration::ZERO;
         }
         if !is_forgotten {
             revision = revision.max(source.known());
-            watch.record_peer_sync(source.told_at());
+            watch.record_peer_sync(source.gossiped_at());
         }
         let suspended = clock.suspended();
         let progress = Progress::default();
         let mut call = call(&*source, revision, wait, &progress);
         let limit = revision.map_or(Duration::ZERO, |_| wait) + MARGIN;
-        let silence = Silence { clock, progress: &progress, limit };
+        let timeout = Timeout { clock, progress: &progress, limit };
         let asked = tokio::select! {
-            asked = ask(&mut call, &mut late, &state, &watch, silence) => asked,
-            () = source.needless(), if revision.is_some() => Asked::Needless,
+            asked = wait_for_answer(&mut call, &mut late, &state, &watch, timeout) => asked,
+            () = source.needless(), if revision.is_some() => Outcome::Needless,
         };
         match asked {
-            Asked::Answered(answer) => {
+            Outcome::Answered(answer) => {
                 if clock.was_suspended_since(suspended) {
-                    // It may have lain here since long before.
+                    // The answer may have been received long before the process resumed.
                     watch.abandon();
                 }
                 let before = revision;
-                revision = take_in(answer, &*source, &state, &mut watch);
+                revision = apply(answer, &*source, &state, &mut watch);
                 is_forgotten = revision.is_none();
                 source.answered(true);
                 late.clear();
@@ -143,51 +143,51 @@
                     sleep(source.gather()).await;
                 }
             }
-            Asked::Failed(error) => {
+            Outcome::Failed(error) => {
                 let due = clock.now();
                 watch.record_failure(due);
                 source.answered(false);
                 state.record_store_failure(due);
-                draw::given_up(source.name(), &progress);
-                tell_failure(&*source, &state, &watch, &error);
+                fetch_log::abandoned(source.name(), &progress);
+                report_failure(&*source, &state, &watch, &error);
                 sleep(backoff(&error, watch.failures())).await;
             }
-            Asked::Silent(limit) => {
+            Outcome::TimedOut(limit) => {
                 let due = clock.now().saturating_sub(MARGIN);
                 watch.record_failure(due);
                 source.answered(false);
                 state.record_store_failure(due);
                 let error = Error::Unavailable(format!("no answer within {limit:?}"));
-                tell_failure(&*source, &state, &watch, &error);
+                report_failure(&*source, &state, &watch, &error);
                 if revision.is_some() && watch.failures() == 1 {
-                    // What silenced this watch may have silenced the others.
+                    // The other watches may be broken for the same reason.
                     state.request_resync();
                 }
                 late.push_back(call);
                 late.drain(..late.len().saturating_sub(LATE_CALLS));
             }
-            Asked::Overtaken => {
-                draw::given_up(source.name(), &progress);
+            Outcome::Resync => {
+                fetch_log::abandoned(source.name(), &progress);
                 watch.abandon();
             }
-            Asked::Needless => draw::given_up(source.name(), &progress),
+            Outcome::Needless => fetch_log::abandoned(source.name(), &progress),
         }
     }
 }
 
-/// Lets the time pass after which a gateway that follows others looks by itself, or until
-/// they leave it behind, or it is to wait for the store's news.
-async fn pass(time: Duration, source: &dyn Source, clock: Clock) {
+/// Waits for the poll interval of a follower, or until data from other gateways is overdue, or
+/// until this gateway becomes a reader.
+async fn wait_for_poll(time: Duration, source: &dyn Source, clock: Clock) {
     let until = clock.now() + time;
     loop {
-        sleep(until.saturating_sub(clock.now()).min(LOOK_AT_ROLE)).await;
-        if clock.now() >= until || source.role() == Role::Reader || source.is_left_behind() {
+        sleep(until.saturating_sub(clock.now()).min(ROLE_POLL)).await;
+        if clock.now() >= until || source.role() == Role::Reader || source.is_overdue() {
             return;
         }
     }
 }
 
-/// A call for all of a kind of fact, or for what came after a revision.
+/// A call that reads all of a kind of data, or watches for changes after a revision.
 fn call<'a>(
     source: &'a dyn Source,
     revision: Option<Revision>,
@@ -204,20 +204,19 @@
     .boxed()
 }
 
-/// What tells that a call will bring nothing.
-struct Silence<'a> {
+/// The timeout of a call.
+struct Timeout<'a> {
     clock: Clock,
-    // Of the call's answer.
+    // The progress of the call's response.
     progress: &'a Progress,
-    // Within how long it has to have begun.
+    // The time within which the response has to begin.
     limit: Duration,
 }
 
-impl Silence<'_> {
-    /// Waits until nothing of the answer has come in time, or nothing more of it; gives how
-    /// long that was.
+impl Timeout<'_> {
+    /// Waits until the response has not begun in time, or has stalled. Returns the time waited.
     ///
-    /// An answer that is still arriving is not requested again: the transfers would share the
+    /// A response that is still arriving is not requested again: the transfers would share the
     /// link and each would take longer.
     async fn passed(&self) -> Duration {
         let began = self.clock.now();
@@ -226,41 +225,41 @@
         self.clock.now().saturating_sub(began)
     }
 
-    /// Waits until nothing more comes of an answer that is on its way, if one is.
+    /// Waits until a response that has begun stalls; returns at once if none has begun.
     async fn stalled(&self) {
         if self.progress.bytes() > 0 {
-            self.progress.stalled(PAUSE).await;
+            self.progress.stalled(IDLE_TIMEOUT).await;
         }
     }
 }
 
-/// Waits for a call or a late one to answer, until the call is late itself.
-async fn ask<'a>(
+/// Waits until the call or a late one is answered, or the call times out.
+async fn wait_for_answer<'a>(
     call: &mut Call<'a>,
     late: &mut VecDeque<Call<'a>>,
     state: &State,
     watch: &Watch,
-    silence: Silence<'_>,
-) -> Asked<'a> {
-    let mut doubts = state.resync_requests();
-    let overtaken = async {
-        // A store that does not answer is not hurried.
+    timeout: Timeout<'_>,
+) -> Outcome<'a> {
+    let mut resyncs = state.resync_requests();
+    let resync = async {
+        // A store that does not answer gets no additional calls.
         if watch.failures() > 0 {
             return pending().await;
         }
-        doubts.changed().await;
+        resyncs.changed().await;
         sleep(RESYNC_GRACE).await;
-        silence.stalled().await;
+        timeout.stalled().await;
     };
     tokio::select! {
-        answer = call => answer.map_or_else(Asked::Failed, Asked::Answered),
-        answer = any_answer(late) => Asked::Answered(answer),
-        waited = silence.passed() => Asked::Silent(waited),
-        () = overtaken => Asked::Overtaken,
+        answer = call => answer.map_or_else(Outcome::Failed, Outcome::Answered),
+        answer = any_answer(late) => Outcome::Answered(answer),
+        waited = timeout.passed() => Outcome::TimedOut(waited),
+        () = resync => Outcome::Resync,
     }
 }
 
-/// Waits for the first of some calls that does not fail.
+/// Waits for the first successful answer among some calls.
 async fn any_answer<'a>(calls: &mut VecDeque<Call<'a>>) -> Answer<'a> {
     poll_fn(|context| {
         let mut answer = None;
@@ -276,8 +275,9 @@
     .await
 }
 
-/// Takes in an answer of the store; gives the revision from which to watch.
-fn take_in(
+/// Applies an answer of the store. Returns the revision from which to watch; none if a full read
+/// is needed.
+fn apply(
     answer: Answer<'_>,
     source: &dyn Source,
     state: &Arc<State>,
@@ -301,8 +301,8 @@
     revision
 }
 
-/// Tells of a failure, and of the store's loss when it is the second in a row.
-fn tell_failure(source: &dyn Source, state: &State, watch: &Watch, error: &Error) {
+/// Logs a failure, and records the outage of the store once enough calls failed in a row.
+fn report_failure(source: &dyn Source, state: &State, watch: &Watch, error: &Error) {
     let kind = source.name();
     if watch.failures() == 1 {
         let unheard_ms = watch.since_last_answer(state.clock().now()).as_millis() as u64;
@@ -314,8 +314,8 @@
     }
 }
 
-/// Gives up entries that are kept around an outage as each has had its time.
-async fn settle(state: Arc<State>) {
+/// Removes entries that were retained because of an outage when they expire.
+async fn expire_retained(state: Arc<State>) {
     let mut kept = state.retention_changes();
     loop {
         match state.next_retention_end() {
@@ -332,32 +332,33 @@
     }
 }
 
-/// How long to stay away after so many failures in a row: longer where the store
-/// asks for it, and a little different each time, so that gateways spread out.
+/// The back-off after a number of failures in a row: at least what the store asks for, with
+/// jitter so that gateways do not retry simultaneously.
 fn backoff(error: &Error, failures: u32) -> Duration {
-    let wait = FIRST_BACKOFF.saturating_mul(1 << failures.min(MOST_DOUBLINGS)).min(LAST_BACKOFF);
+    let wait = FIRST_BACKOFF.saturating_mul(1 << failures.min(MAX_DOUBLINGS)).min(LAST_BACKOFF);
     let wait = match error {
         Error::Limited(limited) => wait.max(*limited),
         _ => wait,
     };
-    wait.mul_f64(rand::random_range(SPREAD))
+    wait.mul_f64(rand::random_range(JITTER))
 }
 
-/// Waits until this gateway reads for its region, or has heard of no other when the others had
-/// time to say who they are.
+/// Waits until this gateway reads for its region, or has discovered no other gateway after they
+/// had time to send a digest.
 pub(super) async fn reads_or_is_alone(state: &State) {
-    sleep(ALONE).await;
+    sleep(DISCOVERY_DELAY).await;
     while state.role() == Role::Follower && state.view().gateways > 1 {
-        sleep(LOOK_AT_ROLE).await;
+        sleep(ROLE_POLL).await;
     }
 }
 
-/// Tells the store that this gateway is there, and learns of the others once, where it reads
-/// for its region or has heard of no other.
+/// Registers this gateway with the store and reads the list of gateways once, if this gateway
+/// reads for its region or has discovered no other.
 ///
-/// The rest are known by digests. Were all to do so, the calls at a start of all would grow with
-/// the square of their number: a list has as many pages as there are hundreds of gateways.
-async fn meet(shared: Shared, name: String, own: SocketAddr) {
+/// All other gateways are discovered by digests. If every gateway read the list, the calls at a
+/// simultaneous start would grow with the square of their number, since the list has one page
+/// per hundred gateways.
+async fn register(shared: Shared, name: String, own: SocketAddr) {
     reads_or_is_alone(&shared.state).await;
     let mut failures = 0;
     loop {
--- a/src/cinderspoke/gateway/source.rs
+++ b/src/cinderspoke/gateway/source.rs
@@ -1,4 +1,4 @@
-//! The kinds of facts that a gateway learns from the platform's store, and how each is read.
+//! The kinds of data that a gateway reads from the platform's store, and how each is read.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -15,49 +15,50 @@
 use cinderspoke_ports::gateway::{Registry, Seen};
 use tokio::time::sleep;
 
-use super::draw;
+use super::fetch_log;
 use super::state::State;
 
-/// How long news of endpoints gather at most while entries are awaited that lapsed in an
-/// outage: a small part of the time that they have to be back.
-const GATHER_AFTER_OUTAGE: Duration = Duration::from_millis(250);
+/// The maximum batching of endpoint changes while entries that expired in an outage may return:
+/// a small part of the time that they have to return.
+const MAX_BATCH_AFTER_OUTAGE: Duration = Duration::from_millis(250);
 
-/// How long a gateway that starts waits until another one says that it has a configuration:
-/// some round trips to a seed and to those that it names.
-const FIRST_WORD: Duration = Duration::from_millis(300);
+/// How long a starting gateway waits for another one to announce a configuration: some round
+/// trips to a seed and to the gateways that it names.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How much longer it waits each time that it comes to know of another gateway, and how long
-/// altogether: where hundreds start at once each hears of the others over some tenths of a
-/// second, and all that heard of nobody who reads would read.
-const NEXT_WORD: Duration = Duration::from_millis(200);
-const ALL_WORDS: Duration = Duration::from_millis(1200);
+/// How long it waits after each newly discovered gateway, and the maximum for the whole wait.
+/// When hundreds start at once, each discovers the others over some tenths of a second, and every
+/// one that knows of no reader would read.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// How long it waits for the configuration of which it was told: less than it may be away.
-const TOLD: Duration = Duration::from_millis(1500);
+/// How long it waits for a configuration that was announced: less than the time for which it may
+/// be without one.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How often it looks whether it has it.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often it checks whether the data has arrived.
+const START_POLL: Duration = Duration::from_millis(20);
 
-/// How often a gateway that follows others looks whether it still does.
-pub(super) const LOOK_AT_ROLE: Duration = Duration::from_millis(150);
+/// How often a follower checks whether its role has changed.
+pub(super) const ROLE_POLL: Duration = Duration::from_millis(150);
 
-/// What the store has answered, to be taken in; gives the revision from which to
-/// watch, none when all has to be read anew.
+/// Applies an answer of the store. Returns the revision from which to watch, or none if a full
+/// read is needed.
 ///
-/// Apart from the asking, since what ends an outage must not be taken in before
-/// it is known to end one: the entries that it removes may have lapsed meanwhile.
+/// Separate from the call, since an answer that ends an outage must not be applied before the
+/// end of the outage is recorded: the entries that it removes may have expired in the outage.
 pub(super) type Answer<'a> = Box<dyn FnOnce(Freshness) -> Option<Revision> + Send + 'a>;
 
-/// How a kind of fact is read.
+/// A kind of data in the store.
 #[async_trait]
 pub(super) trait Source: Send + Sync {
-    /// Its name, for logs.
+    /// The name in logs.
     fn name(&self) -> &'static str;
 
     /// Reads all of it.
     async fn read(&self, progress: &Progress) -> Result<Answer<'_>, Error>;
 
-    /// Waits for news after a revision.
+    /// Waits for changes after a revision.
     async fn watch(
         &self,
         after: Revision,
@@ -65,92 +66,93 @@
         progress: &Progress,
     ) -> Result<Answer<'_>, Error>;
 
-    /// How long news gather before the next watch.
+    /// How long changes are batched before the next watch.
     fn gather(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Waits for what other gateways tell, before the first of it is read.
+    /// Waits before the first read for other gateways to send the data.
     async fn start(&self) {}
 
-    /// The last revision at which what is known is the newest, by whoever told it.
+    /// The last revision at which the data here is known to be the newest, from any origin.
     fn known(&self) -> Option<Revision> {
         None
     }
 
-    /// When others last told that revision; zero if they did not.
-    fn told_at(&self) -> Duration {
+    /// When other gateways last raised that revision; zero if they did not.
+    fn gossiped_at(&self) -> Duration {
         Duration::ZERO
     }
 
-    /// Whether this gateway waits for its news, or has them from others.
+    /// Whether this gateway watches the store for changes, or receives them from other gateways.
     fn role(&self) -> Role {
         self.shared().state.role()
     }
 
-    /// Waits until a call that is made now is needless, since others told the news before it
-    /// brought them, or are to tell them from now on.
+    /// Waits until a call that starts now is no longer needed, because the data arrived from
+    /// other gateways first or they are to send it from now on.
     async fn needless(&self) {
         pending().await
     }
 
-    /// Whether others, who were to tell the news, have not.
-    fn is_left_behind(&self) -> bool {
+    /// Whether data that other gateways were to send is overdue.
+    fn is_overdue(&self) -> bool {
         false
     }
 
-    /// Among how many gateways the asking for it is shared.
+    /// The number of gateways among which the calls are distributed.
     fn askers(&self) -> usize {
         self.shared().askers()
     }
 
-    /// What it reads from, and where it brings it.
+    /// The store and the state.
     fn shared(&self) -> &Shared;
 
-    /// Takes in whether the store answers.
+    /// Records whether the store answered.
     fn answered(&self, _: bool) {}
 }
 
-/// What all sources read from, and where they bring it.
+/// The store that all sources read from, and the state that they update.
 pub(super) struct Shared {
     pub(super) state: Arc<State>,
     pub(super) registry: Arc<dyn Registry>,
 }
 
 impl Shared {
-    /// Waits until something is known from other gateways, as long as they may tell it: a
-    /// gateway that starts while others run has it from them. Were all that start at once to
-    /// read it whole, they would fill the link to the store.
+    /// Waits until data has arrived from other gateways, as long as they may send it: a gateway
+    /// that starts while others run gets it from them. If all gateways that start at once read
+    /// everything, they would saturate the link to the store.
     async fn wait_for<T>(&self, known: impl Fn(&State) -> Option<T>) {
         let state = &self.state;
         if state.options().seeds.is_empty() {
             return;
         }
         let began = state.clock().now();
-        while known(state).is_none() && self.may_be_told(state.clock().now().saturating_sub(began))
-        {
-            sleep(LOOK).await;
+        while known(state).is_none() && self.may_arrive(state.clock().now().saturating_sub(began)) {
+            sleep(START_POLL).await;
         }
     }
 
-    /// Whether other gateways are known to have a configuration, or may yet say so.
-    fn may_be_told(&self, waited: Duration) -> bool {
+    /// Whether other gateways are known to have a configuration, or may still announce one.
+    fn may_arrive(&self, waited: Duration) -> bool {
         let state = &self.state;
         let told = state.configuration_behind() > Duration::ZERO;
         let patience = match state.role() {
-            Role::Reader if !told => FIRST_WORD.max(self.others_known_at()).min(ALL_WORDS),
-            _ => TOLD,
+            Role::Reader if !told => {
+                ANNOUNCEMENT_TIMEOUT.max(self.discovery_deadline()).min(MAX_ANNOUNCEMENT_TIMEOUT)
+            }
+            _ => FETCH_TIMEOUT,
         };
         waited < patience
     }
 
-    /// Until when after its start a gateway waits since others have lately come to be known:
-    /// who comes before it and reads may be the next.
-    fn others_known_at(&self) -> Duration {
-        self.state.discovered_at() + NEXT_WORD
+    /// Until when a starting gateway waits because others were discovered lately: the next one
+    /// discovered may be a reader that ranks before it.
+    fn discovery_deadline(&self) -> Duration {
+        self.state.discovered_at() + DISCOVERY_TIMEOUT
     }
 
-    /// Among how many gateways the asking is shared for what few of them read.
+    /// The number of gateways that call the store for data that only readers watch.
     fn askers(&self) -> usize {
         match self.state.role() {
             Role::Reader => self.state.readers(),
@@ -168,32 +170,32 @@
 /// The list of endpoints.
 pub(super) struct Endpoints(pub(super) Shared);
 
-/// The availability zones that are emptied.
+/// The evacuated availability zones.
 pub(super) struct Evacuations(pub(super) Shared);
 
-/// Where facts came from, for logs.
+/// The origin of data, for logs.
 const STORE: &str = "store";
 
-/// Takes in what was read; gives its revision.
-fn take<T>(fact: Fact<T>, take: impl FnOnce(Fact<T>)) -> Revision {
+/// Applies what was read. Returns its revision.
+fn apply<T>(fact: Fact<T>, apply: impl FnOnce(Fact<T>)) -> Revision {
     let revision = fact.revision;
-    take(fact);
+    apply(fact);
     revision
 }
 
-/// Takes in what a watch has seen; gives its revision, if the store has not
-/// forgotten what lies between.
-fn take_news<T>(seen: Seen<T>, news: impl FnOnce(Fact<T>)) -> Option<Revision> {
+/// Applies the result of a watch. Returns its revision; none if the store has dropped the history
+/// after the last one.
+fn apply_watch<T>(seen: Seen<T>, news: impl FnOnce(Fact<T>)) -> Option<Revision> {
     match seen {
-        Seen::News(fact) => Some(take(fact, news)),
+        Seen::News(fact) => Some(apply(fact, news)),
         Seen::Forgotten => None,
     }
 }
 
 impl Configuration {
-    fn learn(&self, fact: Fact<Option<Declared>>, progress: &Progress) {
+    fn apply(&self, fact: Fact<Option<Declared>>, progress: &Progress) {
         if let Some(declared) = fact.value {
-            draw::came(STORE, STORE, declared.version, progress);
+            fetch_log::completed(STORE, STORE, declared.version, progress);
             self.0.state.apply_configuration(Fact::new(fact.revision, declared), STORE);
         }
         self.0.state.confirm_configuration(fact.revision);
@@ -209,7 +211,7 @@
     async fn read(&self, progress: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.configuration(progress).await?;
         let progress = progress.clone();
-        Ok(Box::new(move |_| Some(take(read, |fact| self.learn(fact, &progress)))))
+        Ok(Box::new(move |_| Some(apply(read, |fact| self.apply(fact, &progress)))))
     }
 
     async fn watch(
@@ -220,7 +222,7 @@
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_configuration(after, wait, progress).await?;
         let progress = progress.clone();
-        Ok(Box::new(move |_| take_news(seen, |fact| self.learn(fact, &progress))))
+        Ok(Box::new(move |_| apply_watch(seen, |fact| self.apply(fact, &progress))))
     }
 
     async fn start(&self) {
@@ -235,7 +237,7 @@
         &self.0
     }
 
-    /// What still comes of an answer then would take room on the link from what is news.
+    /// The rest of an unneeded answer would take bandwidth from newer data.
     async fn needless(&self) {
         let state = &self.0.state;
         let mut changes = state.subscribe();
@@ -243,7 +245,7 @@
         loop {
             tokio::select! {
                 () = changes.changed() => {}
-                () = sleep(LOOK_AT_ROLE) => {}
+                () = sleep(ROLE_POLL) => {}
             }
             let hands_over = role == Role::Reader && state.role() == Role::Follower;
             if hands_over || state.configuration_identity().0 != version {
@@ -252,7 +254,7 @@
         }
     }
 
-    fn is_left_behind(&self) -> bool {
+    fn is_overdue(&self) -> bool {
         self.0.state.is_configuration_overdue()
     }
 
@@ -262,7 +264,7 @@
 }
 
 impl Versions {
-    fn learn(&self, fact: Fact<Rollout>, freshness: Freshness) {
+    fn apply(&self, fact: Fact<Rollout>, freshness: Freshness) {
         self.0.state.apply_rollout(&fact, freshness);
     }
 }
@@ -275,7 +277,7 @@
 
     async fn read(&self, _: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.rollout().await?;
-        Ok(Box::new(move |freshness| Some(take(read, |fact| self.learn(fact, freshness)))))
+        Ok(Box::new(move |freshness| Some(apply(read, |fact| self.apply(fact, freshness)))))
     }
 
     async fn watch(
@@ -285,7 +287,7 @@
         _: &Progress,
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_rollout(after, wait).await?;
-        Ok(Box::new(move |freshness| take_news(seen, |fact| self.learn(fact, freshness))))
+        Ok(Box::new(move |freshness| apply_watch(seen, |fact| self.apply(fact, freshness))))
     }
 
     async fn start(&self) {
@@ -296,7 +298,7 @@
         self.0.state.rollout_revision()
     }
 
-    fn told_at(&self) -> Duration {
+    fn gossiped_at(&self) -> Duration {
         self.0.state.rollout_gossiped_at()
     }
 
@@ -314,7 +316,7 @@
     async fn read(&self, _: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.endpoints().await?;
         let listed = |fact| _ = self.0.state.apply_directory(fact, STORE);
-        Ok(Box::new(move |_| Some(take(read, listed))))
+        Ok(Box::new(move |_| Some(apply(read, listed))))
     }
 
     async fn watch(
@@ -325,14 +327,14 @@
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_endpoints(after, wait).await?;
         let changed = |fact| _ = self.0.state.apply_directory_changes(fact, STORE);
-        Ok(Box::new(move |_| take_news(seen, changed)))
+        Ok(Box::new(move |_| apply_watch(seen, changed)))
     }
 
     fn gather(&self) -> Duration {
         let gather = self.0.state.options().gather;
-        // Entries that come back late after an outage are given up for a while.
+        // Entries that return too late after an outage are removed for a time.
         let awaits_entries = self.0.state.next_retention_end().is_some();
-        if awaits_entries { gather.min(GATHER_AFTER_OUTAGE) } else { gather }
+        if awaits_entries { gather.min(MAX_BATCH_AFTER_OUTAGE) } else { gather }
     }
 
     async fn start(&self) {
@@ -357,7 +359,7 @@
     async fn read(&self, _: &Progress) -> Result<Answer<'_>, Error> {
         let read = self.0.registry.evacuations().await?;
         let listed = |fact| self.0.state.apply_evacuations(fact, STORE);
-        Ok(Box::new(move |_| Some(take(read, listed))))
+        Ok(Box::new(move |_| Some(apply(read, listed))))
     }
 
     async fn watch(
@@ -368,7 +370,7 @@
     ) -> Result<Answer<'_>, Error> {
         let seen = self.0.registry.watch_evacuations(after, wait).await?;
         let changed = |fact| self.0.state.apply_evacuation_changes(fact, STORE);
-        Ok(Box::new(move |_| take_news(seen, changed)))
+        Ok(Box::new(move |_| apply_watch(seen, changed)))
     }
 
     async fn start(&self) {
