--- a/src/cinderspoke/gateway/agents.rs
+++ b/src/cinderspoke/gateway/agents.rs
@@ -1,4 +1,4 @@
-//! The agents that report to this gateway, and which of them to hint at a plan.
+//! The agents that report to this gateway, and the plan that each of them knows.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use cinderspoke_core::gateway::name::Service;
 use tokio::time::Instant;
 
-/// The least time between two hints to an agent.
-const HINT_PAUSE: Duration = Duration::from_millis(150);
+/// The minimum time between two hints to an agent.
+const HINT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// After how long without a report an agent is taken to be gone: as long as hundreds of
-/// reports take, so that one behind a link that is down is there when it comes back.
-const GONE: Duration = Duration::from_secs(120);
+/// How long after its last report an agent is forgotten: hundreds of report intervals, so that
+/// an agent behind a broken link is still known when the link recovers.
+const EXPIRY: Duration = Duration::from_secs(120);
 
-/// An agent that reports here.
+/// An agent that reports to this gateway.
 #[derive(Debug)]
 struct Agent {
     service: Service,
@@ -24,7 +24,7 @@
     hinted: Option<Instant>,
 }
 
-/// All agents that have reported here.
+/// All agents that report to this gateway.
 #[derive(Debug, Default)]
 pub struct Agents(Mutex<HashMap<SocketAddr, Agent>>);
 
@@ -33,7 +33,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in which plan an agent knows; whether to hint it at the wanted one now.
+    /// Records the hash of the plan that an agent knows. Returns true if the agent is to be sent a
+    /// hint now, since its service's plan has another hash.
     pub fn record_report(
         &self,
         from: SocketAddr,
@@ -46,7 +47,7 @@
         let agent =
             agents.entry(from).or_insert(Agent { service, plan, reported: now, hinted: None });
         (agent.plan, agent.reported) = (plan, now);
-        let rested = agent.hinted.is_none_or(|hinted| hinted + HINT_PAUSE <= now);
+        let rested = agent.hinted.is_none_or(|hinted| hinted + HINT_INTERVAL <= now);
         let hint = wanted != plan && rested;
         if hint {
             agent.hinted = Some(now);
@@ -54,13 +55,13 @@
         hint
     }
 
-    /// The agents that do not know their service's plan, and that plan; they
-    /// count as hinted. Those that are gone are forgotten.
+    /// Returns the agents with an outdated plan and the hash of the current one, and records that
+    /// they are sent a hint. Agents that no longer report are forgotten.
     pub fn outdated(&self, plan_of: impl Fn(&Service) -> u64) -> Vec<(SocketAddr, u64)> {
         let now = Instant::now();
         let mut hints = Vec::new();
         let mut agents = self.lock();
-        agents.retain(|_, agent| agent.reported + GONE > now);
+        agents.retain(|_, agent| agent.reported + EXPIRY > now);
         for (address, agent) in agents.iter_mut() {
             let plan = plan_of(&agent.service);
             if plan != agent.plan {
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -1,4 +1,4 @@
-//! Asking another gateway for facts that it has and this one lacks, and telling them.
+//! Fetches newer data from other gateways over HTTP, and serves it to them.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -14,51 +14,51 @@
 use serde::Deserialize;
 use tokio::time::sleep;
 
-use super::draw;
+use super::fetch_log;
 use super::message::{Facts, Summary, pack};
 use super::relay::Relay;
 use crate::util::http::{Call, Progress};
 
-/// How long the store's own word on the list of endpoints is waited for before another
-/// gateway is asked: its news of endpoints gather a while.
-const OWN_LIST: Duration = Duration::from_millis(560);
+/// How long a gateway that reads from the store waits for the store's list of endpoints before
+/// it fetches the list from another gateway: changes of endpoints are batched for a time.
+const READER_LIST_DELAY: Duration = Duration::from_millis(560);
 
-/// How long a gateway of another region may take to begin to tell what it knows, and pause
-/// in it: a configuration with thousands of routes takes seconds over a link that weights
-/// share.
-const FAR_PAUSE: Duration = Duration::from_millis(1200);
+/// The idle timeout of a response from another region, both until its first byte and between
+/// bytes: a configuration with thousands of routes takes seconds over a link shared with weights.
+const FAR_IDLE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The same of a gateway of the own region; after it, another one is asked.
-const NEAR_PAUSE: Duration = Duration::from_millis(500);
+/// The idle timeout of a response from the own region. After it, another gateway is asked.
+const NEAR_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long it may take on the whole: another one may have a link that is clear.
+/// The timeout of a whole response: another gateway may have an uncongested link.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long to wait at most until it is looked anew who has a configuration: a gateway of
-/// the own region may have it by then.
-const LOOK: Duration = Duration::from_millis(50);
+/// The longest wait before checking again which gateways have a newer configuration: one of the
+/// own region may have got it meanwhile.
+const STEP_POLL: Duration = Duration::from_millis(50);
 
-/// How long a gateway that does not read the list waits at most before it asks one of its
-/// region for a newer one, so that not all ask at the same moment.
-const NEAR_LIST: Duration = Duration::from_millis(80);
+/// The longest random delay before a follower fetches a newer list of endpoints from a gateway
+/// of its region, so that not all followers send their requests at the same moment.
+const NEAR_LIST_JITTER: Duration = Duration::from_millis(80);
 
-/// How long it waits for one of its region before it asks one of another.
-const FAR_LIST: Duration = Duration::from_millis(500);
+/// How long a follower waits for a gateway of its region to have the list before it fetches it
+/// from another region.
+const FAR_LIST_DELAY: Duration = Duration::from_millis(500);
 
-/// How often it is looked whether that time is over.
-const LOOK_AT_LIST: Duration = Duration::from_millis(20);
+/// How often an awaited list is checked for being due.
+const LIST_POLL: Duration = Duration::from_millis(20);
 
-/// A newer list of endpoints, and who has it.
+/// A newer list of endpoints that another gateway has.
 pub(super) struct Awaited {
     from: SocketAddr,
     known: Summary,
     is_near: bool,
-    // When it is asked for, by the gateway's clock.
+    // When it is to be fetched, by the gateway's clock.
     due: Duration,
 }
 
 impl Relay {
-    /// Gets a newer configuration from another gateway, unless that is under way.
+    /// Starts to fetch a newer configuration from other gateways, unless a fetch is running.
     pub(super) fn fetch_configuration(self: &Arc<Self>) {
         if self.awaiting_configuration.swap(true, Ordering::SeqCst) {
             return;
@@ -68,7 +68,7 @@
             loop {
                 relay.fetch_from_others().await;
                 relay.awaiting_configuration.store(false, Ordering::SeqCst);
-                // What was told just before that began no other draw.
+                // A summary that arrived just before the flag was cleared did not start a fetch.
                 let is_done = relay.state.next_fetch_step(0.0) == Step::Idle;
                 if is_done || relay.awaiting_configuration.swap(true, Ordering::SeqCst) {
                     return;
@@ -77,34 +77,39 @@
         });
     }
 
-    /// Asks one gateway after the other until none is known that has a newer configuration.
+    /// Fetches from one gateway after the other until none is known to have a newer configuration.
     async fn fetch_from_others(&self) {
         loop {
             let (gateway, pause) = match self.state.next_fetch_step(rand::random()) {
-                Step::FetchNear(gateway) => (gateway, NEAR_PAUSE),
-                Step::FetchFar(gateway) => (gateway, FAR_PAUSE),
+                Step::FetchNear(gateway) => (gateway, NEAR_IDLE_TIMEOUT),
+                Step::FetchFar(gateway) => (gateway, FAR_IDLE_TIMEOUT),
                 Step::Wait(time) => {
-                    sleep(time.min(LOOK)).await;
+                    sleep(time.min(STEP_POLL)).await;
                     continue;
                 }
                 Step::Idle => return,
             };
             self.state.record_fetch_attempt(gateway);
             if self.state.role() == Role::Reader {
-                // The store's own word should be here by now.
+                // The watch of the store should have returned it by now.
                 self.state.request_resync();
             }
             if let Err(error) = self.fetch(gateway, pause).await {
-                tracing::debug!(%gateway, error = format!("{error:#}"), "fetching facts from a gateway failed");
+                tracing::debug!(
+                    %gateway,
+                    error = format!("{error:#}"),
+                    "fetching from gateway failed"
+                );
             }
         }
     }
 
-    /// Asks a gateway for a newer list of endpoints, unless that comes by itself in time or
-    /// is waited for already; one of the own region goes before one of another.
+    /// Schedules fetching a newer list of endpoints from a gateway, unless a list is awaited
+    /// already. A gateway of the own region replaces an awaited one of another region. Nothing
+    /// is fetched if the list arrives by other means in time.
     pub(super) fn fetch_list(self: &Arc<Self>, from: SocketAddr, known: &Summary) {
         let is_near = self.state.is_neighbour(from);
-        let due = self.state.clock().now() + self.list_patience(is_near);
+        let due = self.state.clock().now() + self.list_delay(is_near);
         let mut awaited = self.awaited_list();
         if let Some(awaited) = &mut *awaited {
             if is_near && !awaited.is_near {
@@ -122,25 +127,25 @@
         self.awaited_list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How long the list of endpoints is waited for before a gateway is asked for it.
-    fn list_patience(&self, is_near: bool) -> Duration {
+    /// How long to wait for the list of endpoints before it is fetched from a gateway.
+    fn list_delay(&self, is_near: bool) -> Duration {
         match self.state.role() {
-            Role::Reader => OWN_LIST,
-            Role::Follower if is_near => NEAR_LIST.mul_f64(rand::random()),
-            Role::Follower => FAR_LIST,
+            Role::Reader => READER_LIST_DELAY,
+            Role::Follower if is_near => NEAR_LIST_JITTER.mul_f64(rand::random()),
+            Role::Follower => FAR_LIST_DELAY,
         }
     }
 
-    /// Whether the time to ask for the newer list is yet to come.
+    /// Whether the awaited list is not due yet.
     fn is_list_awaited(&self) -> bool {
         let now = self.state.clock().now();
         self.awaited_list().as_ref().is_some_and(|awaited| awaited.due > now)
     }
 
-    /// Asks the gateway from which a newer list is awaited, once its time has come.
+    /// Fetches the awaited list when it is due, if it is still newer.
     async fn fetch_awaited(self: &Arc<Self>) {
         while self.is_list_awaited() {
-            sleep(LOOK_AT_LIST).await;
+            sleep(LIST_POLL).await;
         }
         let awaited = self.awaited_list().take();
         let Some(Awaited { from, known, is_near, .. }) = awaited else { return };
@@ -150,26 +155,30 @@
         if self.state.role() == Role::Reader {
             self.state.request_resync();
         }
-        let pause = if is_near { NEAR_PAUSE } else { FAR_PAUSE };
+        let pause = if is_near { NEAR_IDLE_TIMEOUT } else { FAR_IDLE_TIMEOUT };
         if let Err(error) = self.fetch(from, pause).await {
-            tracing::debug!(%from, error = format!("{error:#}"), "fetching facts from a gateway failed");
+            tracing::debug!(
+                %from,
+                error = format!("{error:#}"),
+                "fetching from gateway failed"
+            );
         }
     }
 
-    /// Asks a gateway for what it knows more; for the whole configuration where what differs
-    /// does not fit.
+    /// Fetches newer data from a gateway and applies it. If a configuration difference cannot be
+    /// applied, the whole configuration is requested.
     async fn fetch(&self, from: SocketAddr, pause: Duration) -> Result<()> {
         let (_, held) = self.state.configuration_identity();
         let facts = self.ask(from, pause, held).await?;
-        if let Err(misfit) = self.take_in(facts) {
+        if let Err(misfit) = self.apply(facts) {
             tracing::warn!(%from, %misfit, "a configuration difference cannot be applied");
-            self.take_in(self.ask(from, pause, Hash::default()).await?)?;
+            self.apply(self.ask(from, pause, Hash::default()).await?)?;
         }
         Ok(())
     }
 
-    /// Asks a gateway for what it knows more, with the hash of the configuration by which it
-    /// may tell the newer one.
+    /// Requests newer data from a gateway. The hash names the configuration in force here, from
+    /// which the answer may be a difference.
     async fn ask(&self, from: SocketAddr, pause: Duration, held: Hash) -> Result<Facts> {
         let known = self.state.summary();
         let path = format!(
@@ -182,15 +191,15 @@
         let facts: Facts = postcard::from_bytes(&answer).context("reading facts")?;
         if let Some(configuration) = &facts.configuration {
             let version = configuration.value.version();
-            draw::came("gateway", &from.to_string(), version, &progress);
+            fetch_log::completed("gateway", &from.to_string(), version, &progress);
         }
         self.meet(facts.gateways.clone()).await;
         self.state.merge_suspects(&facts.suspects);
         Ok(facts)
     }
 
-    /// Takes in what a gateway told.
-    fn take_in(&self, facts: Facts) -> Result<(), ApplyError> {
+    /// Applies the data from a gateway.
+    fn apply(&self, facts: Facts) -> Result<(), ApplyError> {
         let known = self.state.summary();
         if let Some(directory) = facts.directory.filter(|list| list.revision > known.directory) {
             self.state.apply_directory(directory, "gateway");
@@ -202,14 +211,15 @@
     }
 }
 
-/// Whether one knows something that the other does not.
+/// Whether the first summary has newer data than the other.
 pub(super) fn knows_more(one: &Summary, other: &Summary) -> bool {
     one.configuration > other.configuration
         || (one.directory > other.directory && one.directory_hash != other.directory_hash)
         || knows_more_zones(one, other)
 }
 
-/// Whether one knows which zones are emptied where the other does not, or knows others.
+/// Whether the first summary has newer and different evacuated zones, or is the only one that
+/// has them.
 fn knows_more_zones(one: &Summary, other: &Summary) -> bool {
     match (&one.evacuated, &other.evacuated) {
         (Some(one), Some(other)) => one.revision > other.revision && one.value != other.value,
@@ -217,7 +227,7 @@
     }
 }
 
-/// What the asker of facts knows.
+/// The query of a request for newer data: what the requester has.
 #[derive(Debug, Deserialize)]
 pub(super) struct Asked {
     configuration: u64,
@@ -226,8 +236,8 @@
     directory_hash: u64,
 }
 
-/// Tells another gateway all that it may not know.
-pub(super) async fn tell(State(relay): State<Arc<Relay>>, Query(asked): Query<Asked>) -> Bytes {
+/// Serves another gateway the data that it lacks.
+pub(super) async fn serve(State(relay): State<Arc<Relay>>, Query(asked): Query<Asked>) -> Bytes {
     let state = &relay.state;
     let held = Hash(asked.configuration_hash);
     let facts = Facts {
--- a/src/cinderspoke/gateway/draw.rs
+++ b/src/cinderspoke/gateway/fetch_log.rs
@@ -1,22 +1,24 @@
-//! What it costs to learn configurations, logged and counted.
+//! Logs and counts the bytes fetched for configurations.
 
 use cinderspoke_ports::client::Progress;
 use metrics::counter;
 
 use crate::util::metrics::CONFIGURATION_DRAWN;
 
-/// The least part of an answer that is told of, in bytes: less than that is a refusal.
-const PART: u64 = 1024;
+/// The smallest abandoned response that is reported, in bytes: a smaller one is an error
+/// response.
+const MIN_REPORTED_BYTES: u64 = 1024;
 
-/// Tells that a configuration came whole, from a gateway at an address or from the store.
-pub fn came(source: &'static str, from: &str, version: u64, progress: &Progress) {
+/// Reports that a configuration was fetched completely, from a gateway at an address or from
+/// the store.
+pub fn completed(source: &'static str, from: &str, version: u64, progress: &Progress) {
     let (bytes, took_ms) = count(source, progress);
     tracing::info!(version, source, from, bytes, took_ms, "configuration fetched");
 }
 
-/// Tells that an answer was given up of which a part had come.
-pub fn given_up(kind: &'static str, progress: &Progress) {
-    if progress.bytes() >= PART {
+/// Reports that a partly received response was abandoned.
+pub fn abandoned(kind: &'static str, progress: &Progress) {
+    if progress.bytes() >= MIN_REPORTED_BYTES {
         let (bytes, took_ms) = count("given-up", progress);
         tracing::info!(kind, bytes, took_ms, "a response was abandoned midway");
     }
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -1,4 +1,4 @@
-//! The facts behind a gateway's view.
+//! The data behind the lock of a gateway's shared state.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
 use super::message::Summary;
 use super::target::Target;
 
-/// How many configurations that were replaced are kept: whoever is further behind is told
-/// the whole.
-const REPLACED: usize = 8;
+/// How many replaced configurations are kept. A gateway with an older one is sent the whole
+/// configuration instead of a difference.
+const MAX_REPLACED: usize = 8;
 
-/// Facts as they came in, with what is needed to tell which are newer.
+/// The data as received, with the revisions by which newer data is recognised.
 // Invariants: `targets` holds the endpoints of the tracker's list at the
 // addresses that it names, `by_address` the same targets, and `directory_hash`
 // is that of the list.
@@ -33,40 +33,41 @@
 pub struct Inner {
     /// The configuration; none before the first.
     pub configuration: Fact<Option<Arc<Catalog>>>,
-    /// Those that were in force before it, the oldest first: what differs is told by them.
+    /// The configurations in force before it, oldest first: the bases of differences.
     pub replaced: VecDeque<Arc<Catalog>>,
-    /// What other gateways say of themselves.
+    /// The announcements of other gateways.
     pub region: region::Table,
-    /// How far it is behind what is known to be.
+    /// How long newer configurations than the one in force have been announced.
     pub lag: Lag,
     /// The versions that models are to have.
     pub rollout: Rollout,
     /// The last revision of the store at which they are known to be the newest.
     pub rollout_revision: Revision,
-    /// When another gateway last told that revision.
+    /// When another gateway last raised that revision.
     pub rollout_gossiped_at: Duration,
-    /// For how long they have been named.
+    /// For how long the versions have been named.
     pub timeline: Timeline,
-    /// The versions that the store itself told of last; none before it first did.
+    /// The versions last read from the store or confirmed against it; none before the first.
     pub stored_rollout: Option<Rollout>,
     /// The list of endpoints.
     pub tracker: Tracker,
-    /// The availability zones that are emptied.
+    /// The evacuated availability zones.
     pub evacuation: evacuation::Table,
-    /// When the platform last did not answer, and whether it answered others.
+    /// When the store last did not answer, and whether it answered other gateways meanwhile.
     pub outage: Outage,
-    /// Tells lists of endpoints apart; kept, since it is asked for with each digest.
+    /// The hash of the list of endpoints, cached since every digest contains it.
     pub directory_hash: u64,
-    /// What endpoints said of themselves.
+    /// The drains and back-offs that endpoints announced.
     pub notices: notice::Table,
     /// Endpoints by name.
     pub targets: HashMap<Endpoint, Arc<Target>>,
-    /// Endpoints by service and address: anyone may write an entry with an address that
-    /// an endpoint of another service has.
+    /// Endpoints by service and address. The address alone is not unique: anyone may write an
+    /// entry with the address of an endpoint of another service.
     pub by_address: HashMap<(Service, SocketAddr), Arc<Target>>,
-    /// When the last of them came to be known.
+    /// When the newest of the other gateways was discovered.
     pub discovered_at: Duration,
-    /// Other gateways and when each was last heard of by itself, or else first named.
+    /// The other gateways, with the time of the last contact with each, or else the time when it
+    /// was first named.
     pub gateways: BTreeMap<SocketAddr, Duration>,
 }
 
@@ -83,16 +84,16 @@
         self.configuration.value.is_none() || version > self.version()
     }
 
-    /// Puts a configuration in force, at a revision of the store at which it is the newest.
+    /// Sets the configuration in force, with a revision of the store at which it is the newest.
     pub fn set_catalog(&mut self, catalog: Arc<Catalog>, revision: Revision) {
         let revision = revision.max(self.configuration.revision);
         let now = Fact::new(revision, Some(catalog));
         let before = std::mem::replace(&mut self.configuration, now);
         self.replaced.extend(before.value);
-        self.replaced.drain(..self.replaced.len().saturating_sub(REPLACED));
+        self.replaced.drain(..self.replaced.len().saturating_sub(MAX_REPLACED));
     }
 
-    /// Keeps a target for each endpoint of the list.
+    /// Creates and removes targets so that there is one for each endpoint of the list.
     pub fn sync_targets(&mut self, now: Duration) {
         self.directory_hash = hash(self.tracker.directory());
         let Self { tracker, targets, by_address, notices, .. } = self;
@@ -118,14 +119,14 @@
         notices.expire(|run| listed.contains(&run), now);
     }
 
-    /// The endpoints that the list has as ready.
+    /// The endpoints that are ready according to the list.
     pub fn ready(&self) -> impl Iterator<Item = (&Arc<Target>, &Entry)> {
         let entries = self.tracker.directory().entries.iter();
         let ready = entries.filter(|(_, entry)| entry.is_ready());
         ready.filter_map(|(name, entry)| Some((self.targets.get(name)?, entry)))
     }
 
-    /// What is known now, in a few words that tell whether another process knows more.
+    /// A summary of the data, from which another process sees whether it has newer data.
     #[must_use]
     pub fn summary(&self, now: Duration) -> Summary {
         Summary {
@@ -143,9 +144,9 @@
     }
 }
 
-/// Tells lists of endpoints apart, by what an endpoint is and whether it takes work. The
-/// models that it holds are left out: each endpoint changes them with each version, all
-/// at about the same time, and what agents report of them goes before.
+/// Hashes a list of endpoints by the identity of each endpoint and whether it accepts requests.
+/// The models that endpoints hold are excluded: every endpoint changes them with every version,
+/// all at about the same time, and the reports of agents take precedence for them.
 fn hash(directory: &Directory) -> u64 {
     let text: String = directory
         .entries
--- a/src/cinderspoke/gateway/message.rs
+++ b/src/cinderspoke/gateway/message.rs
@@ -1,8 +1,8 @@
 //! Messages between the system's processes, and their datagrams.
 //!
-//! Datagrams may be lost, doubled or late; whatever they say is said again, or
-//! can be asked for over HTTP. All messages are packed with `postcard`, so both
-//! sides have to be of one build.
+//! Datagrams may be lost, duplicated or delayed; their content is sent again or can be fetched
+//! over HTTP. All messages are encoded with `postcard`, so both sides have to run the same
+//! build.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,134 +26,135 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// The largest datagram: what fits into a link's packet several times over.
+/// The largest datagram that can be received, in bytes: several times a link's packet.
 const MAX_DATAGRAM: usize = 16 << 10;
 
-/// How long to wait after a datagram could not be received.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(5);
+/// How long to wait after receiving a datagram failed.
+const RECEIVE_BACKOFF: Duration = Duration::from_millis(5);
 
-/// What a process knows, in a few words.
+/// A summary of a gateway's state, from which the receiver sees whether it has newer data.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The version of the configuration in force.
     pub configuration: u64,
-    /// The last revision of the store at which that one is known to be the newest.
+    /// The last revision of the store at which that configuration is known to be the newest.
     pub configuration_revision: Revision,
-    /// What the process is, if it is a gateway.
+    /// The gateway's region and role.
     pub announcement: Announcement,
     /// The versions that were named, and for how long.
     pub ages: Ages,
-    /// The last revision of the store at which those are known to be all.
+    /// The last revision of the store at which these versions are known to be complete.
     pub rollout_revision: Revision,
     /// The revision of the list of endpoints.
     pub directory: Revision,
-    /// Tells lists of endpoints apart.
+    /// The hash of the list of endpoints.
     pub directory_hash: u64,
-    /// The availability zones that are emptied, where that is known.
+    /// The evacuated availability zones, if known.
     pub evacuated: Option<Fact<BTreeSet<Zone>>>,
-    /// How long ago the platform answered any gateway, as far as is known, the last
-    /// answers first.
+    /// How long ago the store is known to have answered any gateway, newest answer first.
     pub store_answers: Vec<Ago>,
-    /// Requests under which endpoints ended.
+    /// Updates on requests during which endpoints ended.
     pub suspects: Vec<Update>,
-    /// Endpoints that leave, as they themselves said.
+    /// Endpoints that announced that they are draining.
     pub draining: Vec<notice::Update>,
 }
 
-/// A gateway as others name it.
+/// A gateway as named to other processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayInfo {
-    /// Where it is reached.
+    /// Its address for other processes.
     pub address: SocketAddr,
-    /// The tag of its region, where that is known.
+    /// The tag of its region, if known.
     pub region: Option<region::Tag>,
 }
 
-/// What goes between processes without an answer.
+/// A message that is sent over UDP.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A gateway says what it knows.
+    /// A summary of the state of a gateway.
     Digest {
-        /// Where it can be asked for more.
+        /// The address from which newer data can be fetched.
         from: SocketAddr,
-        /// What it knows.
+        /// The summary.
         summary: Summary,
-        /// Other gateways that it knows of.
+        /// Some other gateways.
         gateways: Vec<GatewayInfo>,
     },
-    /// An agent says what its engine is busy with.
+    /// An agent's report on the load of its engine.
     Report {
         /// The agent.
         from: SocketAddr,
-        /// Where the engine answers.
+        /// The engine's address.
         engine: SocketAddr,
         /// The engine's service.
         service: Service,
-        /// What it is busy with.
+        /// Its load.
         report: Report,
-        /// The plan that the agent knows.
+        /// The hash of the plan that the agent knows.
         plan_hash: u64,
-        /// The agent's own time, which tells how long the report was on its way.
+        /// When the agent sent the report, by its own clock: shows delays on the way.
         sent_at: Duration,
         /// Whether the agent asks for an echo.
         echo: bool,
-        /// The versions that were named, and for how long, where it asks: agents
-        /// outlive gateways, which learn from them what no other gateway knows.
+        /// The versions that were named and for how long, in reports that ask for an echo.
+        /// Agents outlive gateways, so a gateway may get from them what no other gateway knows.
         ages: Ages,
-        /// The number of the question that it answers, if it does.
+        /// The number of the query that the report answers, if any.
         query: Option<u64>,
     },
-    /// A gateway answers a report, so that the agent knows that it is reached.
+    /// A gateway's answer to a report, which shows the agent that the gateway is reachable.
     Echo {
-        /// Who answers.
+        /// The gateway.
         from: SocketAddr,
-        /// The time that the report told.
+        /// The report's `sent_at`.
         report_sent_at: Duration,
     },
-    /// A gateway wants an agent's reports for a while.
+    /// A gateway subscribes to the reports of an agent for a limited time.
     Subscribe {
         /// The gateway.
         from: SocketAddr,
     },
-    /// A gateway says what it has outstanding at an agent's engine.
+    /// A gateway's outstanding requests at an agent's engine.
     Outstanding {
         /// The gateway.
         from: SocketAddr,
-        /// Its requests there.
+        /// The outstanding requests.
         outstanding: Outstanding,
-        /// The gateway's own time, by which overtaken datagrams are known.
+        /// When it was sent, by the gateway's own clock: reordered datagrams are detected by it.
         sent_at: Duration,
-        /// All places that it asked for before this time of its own are decided on.
+        /// All reservations that the gateway queried before this time, by its own clock, are
+        /// either used or released.
         decided_before: Duration,
     },
-    /// A gateway asks for a place at an agent's engine; the agent answers with a report.
+    /// A gateway queries an agent and reserves room at its engine. The agent answers with a
+    /// report.
     Query {
         /// The gateway.
         from: SocketAddr,
-        /// Tells what the gateway asks at a time from what it asks at another.
+        /// Identifies the query among those of the gateway.
         number: u64,
-        /// The gateway's own time.
+        /// When it was sent, by the gateway's own clock.
         sent_at: Duration,
-        /// The prompt tokens of the request that it is for.
+        /// The prompt tokens of the request that the reservation is for.
         prompt_tokens: u32,
     },
-    /// A gateway says that there is a plan that an agent may not know.
+    /// A gateway announces a plan that an agent may not know.
     Hint {
-        /// Where it can be read.
+        /// The gateway from which it can be fetched.
         from: SocketAddr,
-        /// The region of who tells it.
+        /// The gateway's region.
         region: Region,
-        /// Tells plans apart.
+        /// The hash of the plan.
         plan_hash: u64,
     },
 }
 
-/// A configuration, as it is told to a gateway.
+/// A configuration as sent to another gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Configuration {
-    /// All of it.
+    /// The whole configuration.
     Whole(Declared),
-    /// What differs from the one that the asker has.
+    /// The difference from the requester's configuration.
     Changed(Difference),
 }
 
@@ -168,23 +169,23 @@
     }
 }
 
-/// All that a gateway can tell another.
+/// The answer of a gateway to a request for newer data.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Facts {
-    /// The configuration, if it is newer than the asker's.
+    /// The configuration, if it is newer than the requester's.
     pub configuration: Option<Fact<Configuration>>,
-    /// The endpoints, if the list is newer than the asker's and another one.
+    /// The list of endpoints, if it is newer than the requester's and differs from it.
     pub directory: Option<Fact<Directory>>,
     /// Other gateways.
     pub gateways: Vec<GatewayInfo>,
-    /// Requests under which endpoints ended.
+    /// Updates on requests during which endpoints ended.
     pub suspects: Vec<Update>,
 }
 
 /// An engine of a service, as agents see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where the engine answers; its agent is on the same instance.
+    /// The engine's address; its agent is on the same instance.
     pub engine: SocketAddr,
     /// Its availability zone.
     pub zone: String,
@@ -192,25 +193,25 @@
     pub region: String,
 }
 
-/// What agents have to know of their service.
+/// What the agents of a service need to know.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// When it held.
+    /// The revision of the list of endpoints from which it was made.
     pub revision: Revision,
     /// The versions that models are to have.
     pub rollout: Rollout,
-    /// For how long they have been named.
+    /// For how long the versions have been named.
     pub ages: Ages,
     /// The models of the service.
     pub models: Vec<String>,
-    /// Where weights come from at first.
+    /// The origins of weights.
     pub origins: Vec<Origin>,
     /// The engines of the service.
     pub peers: Vec<Peer>,
 }
 
 impl Plan {
-    /// Tells plans apart, whenever they held and however old their versions are.
+    /// Hashes the plan without its revision and the ages of its versions.
     #[must_use]
     pub fn hash(&self) -> u64 {
         let Self { rollout, models, origins, peers, .. } = self;
@@ -221,27 +222,27 @@
 /// Packs a message.
 pub fn pack<T: Serialize>(message: &T) -> Vec<u8> {
     postcard::to_stdvec(message).unwrap_or_else(|error| {
-        // Only a map or sequence of unknown length fails, and there is none.
+        // Only maps and sequences of unknown length fail, and no message has one.
         tracing::error!(%error, "a message could not be packed");
         Vec::new()
     })
 }
 
-/// Sends a datagram; a lost one is made good by the next.
+/// Sends a datagram. A failure is logged only, since the next datagram replaces a lost one.
 pub async fn send(socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
     if let Err(error) = socket.send_to(bytes, to).await {
         tracing::debug!(%to, %error, "a datagram was not sent");
     }
 }
 
-/// Receives the next datagram that can be read.
+/// Receives the next datagram that can be decoded.
 pub async fn receive(socket: &UdpSocket, buffer: &mut [u8]) -> Datagram {
     loop {
         let received = match socket.recv_from(buffer).await {
             Ok((length, _)) => postcard::from_bytes(&buffer[..length]),
             Err(error) => {
                 tracing::debug!(%error, "receiving a datagram failed");
-                sleep(RECEIVE_PAUSE).await;
+                sleep(RECEIVE_BACKOFF).await;
                 continue;
             }
         };
@@ -252,7 +253,7 @@
     }
 }
 
-/// A buffer for datagrams.
+/// A receive buffer for datagrams.
 #[must_use]
 pub fn buffer() -> Vec<u8> {
     vec![0; MAX_DATAGRAM]
--- a/src/cinderspoke/gateway/mod.rs
+++ b/src/cinderspoke/gateway/mod.rs
@@ -1,33 +1,43 @@
-//! The program on an entry instance of a platform that keeps configuration,
-//! versions and the list of endpoints.
+//! The gateway: forwards callers' requests to endpoints, on an entry instance whose platform
+//! stores the configuration, the versions and the list of endpoints.
 //!
-//! - [`state`] keeps the facts of its [`inner`] and shows them to requests
-//!   in a [`view`]; what it asks of decisions is in [`options`].
-//! - [`follow`] learns facts from the platform, each kind from a [`source`]; [`relay`] tells
-//!   other gateways and [`agents`] of them in a [`message`], and asks a gateway for [`facts`]
-//!   that this one lacks: of configurations, [`region`] says whom, and [`draw`] counts what
-//!   they cost. The agents of a [`subset`] of engines report here; what agents have to know is a [`plan`]; of what is [`outstanding`] at their
-//!   engines they are told as it changes.
-//! - [`serve`] takes callers' requests, whose [`head`] has to come in time, and
-//!   [`forward`] brings them to endpoints: [`parse`] reads the request
-//!   and [`choose`] name an endpoint, under load after a [`query`] to the agents;
-//!   [`send`] sends over the connections of a [`pool`], each a [`socket`], [`answer`]
-//!   reads what comes back, and what no endpoint answers ends in a [`refusal`].
-//! - [`crash`] finds out whether an endpoint ended under a request, [`suspects`] are
-//!   those under which some did; [`quarantine`] keeps in the store which are quarantined for it.
-//! - [`stream`] is an answer in events; [`passthrough`] passes it on and has another
-//!   endpoint go on with it.
-//! - [`versions`] says which versions were named, [`zones`] which availability zones receive nothing, and which endpoints are cold.
-//! - [`context`] is what all requests share, [`target`] what is kept of each
-//!   endpoint, [`record`] what is logged of each request.
+//! Shared state and its exchange:
+//!
+//! - [`state`] holds the shared state, with the data behind its lock in [`inner`]. Requests read
+//!   it as an immutable [`view`]; the settings in use are its [`options`].
+//! - [`follow`] reads the platform's store, one [`source`] per kind of data.
+//! - [`relay`] exchanges [`message`]s with other gateways and with [`agents`]. [`facts`] fetches
+//!   what another gateway has newer, [`region`] decides from whom to fetch a configuration, and
+//!   [`fetch_log`] logs and counts the bytes fetched.
+//! - [`subset`] selects the engines whose agents report to this gateway, a [`plan`] is what
+//!   agents need to know of their service, and [`outstanding`] sends agents the changes of the
+//!   outstanding requests at their engines.
+//! - [`versions`] records which model versions are named and since when, [`zones`] which
+//!   availability zones are evacuated and which endpoints are cold, and [`notices`] what
+//!   endpoints announce in their answers.
+//!
+//! Requests:
+//!
+//! - [`serve`] accepts requests and reads each [`head`] within a time limit, and [`forward`]
+//!   sends them to endpoints: [`parse`] reads the request, [`choose`] selects an endpoint, under
+//!   load after a [`query`] to the agents, [`send`] sends over the connections of a [`pool`],
+//!   each a [`socket`], and [`answer`] reads the response. A request that no endpoint answers
+//!   gets a [`refusal`].
+//! - [`stream`] reads an answer that consists of events; [`passthrough`] passes it on and lets
+//!   another endpoint resume it.
+//! - [`crash`] detects that an endpoint ended during a request, [`suspects`] tracks the requests
+//!   during which endpoints ended, and [`quarantine`] keeps in the store which of them are
+//!   quarantined.
+//! - [`context`] is shared by all requests, a [`target`] holds what is tracked of each endpoint,
+//!   and a [`record`] what is logged of each request.
 
 pub mod agents;
 pub mod answer;
 pub mod choose;
 pub mod context;
 pub mod crash;
-pub mod draw;
 pub mod facts;
+pub mod fetch_log;
 pub mod follow;
 pub mod forward;
 pub mod head;
@@ -79,30 +89,30 @@
 use crate::util::settings::inner_address;
 use crate::util::stop::until;
 
-/// How long after it says that it is not ready a gateway still gets new
-/// connections: the balancer asks each second and believes the second answer.
-const UNNOTICED: Duration = Duration::from_millis(2600);
+/// How long a gateway still gets new connections after it reports that it is not ready: the
+/// load balancer checks every second and acts on the second failed check.
+const DEREGISTRATION: Duration = Duration::from_millis(2600);
 
-/// How long a gateway that stops waits for late connections after it closed those at rest.
-const QUIET: Duration = Duration::from_millis(400);
+/// How long a stopping gateway waits for late connections after it closed the idle ones.
+const LATE_CONNECTIONS: Duration = Duration::from_millis(400);
 
-/// What is left of the time to stop when the process ends by itself.
-const MARGIN: Duration = Duration::from_millis(300);
+/// How long before the end of its grace period a stopping process exits by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// How often a gateway that stops looks whether anything is left to wait for.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often a stopping gateway checks for requests and connections that are still open.
+const STOP_POLL: Duration = Duration::from_millis(50);
 
-/// What a gateway is made of besides its settings.
+/// What a gateway needs besides its settings.
 pub struct Parts {
     /// The platform's store.
     pub registry: Arc<dyn Registry>,
-    /// What the store keeps of requests that are held back.
+    /// The quarantined requests in the store.
     pub holds: Arc<dyn Holds>,
-    /// How requests are spelled.
+    /// The headers and body format of requests.
     pub dialect: Arc<dyn Dialect>,
-    /// How other processes of the system are reached.
+    /// The HTTP client for other processes of the system.
     pub client: Client,
-    /// Where the process's metrics are collected, if they are.
+    /// The process's metrics recorder, if metrics are collected.
     pub metrics: Option<PrometheusHandle>,
 }
 
@@ -117,7 +127,7 @@
     ///
     /// # Errors
     ///
-    /// When it is no gateway by its settings, or cannot listen to an address.
+    /// When the settings are not those of a gateway, or an address cannot be bound.
     pub async fn bind(settings: &settings::Node, parts: Parts) -> Result<Self> {
         let listen = settings.listen.as_ref().context("the settings have no listen addresses")?;
         let clock = Clock::start();
@@ -147,24 +157,25 @@
         Ok(Self { context, stop })
     }
 
-    /// Goes by other settings, in what may change while it runs.
+    /// Applies new settings, as far as they may change while the gateway runs.
     pub fn reload(&self, settings: &settings::Node) {
         self.context.state.set_options(Options::new(settings));
     }
 
-    /// Stops in order: no request in progress is cut off, and no answer on its way.
+    /// Stops gracefully, without cutting off requests in progress or answers being sent, within the
+    /// grace period of the settings.
     pub async fn stop(self) {
         let (began, grace) = (Instant::now(), self.context.state.options().grace);
-        let end = began + grace.saturating_sub(MARGIN);
+        let end = began + grace.saturating_sub(EXIT_MARGIN);
         tracing::info!(in_progress = self.context.in_progress(), "stopping");
         self.context.start_draining();
         self.context.state.resign();
-        sleep(UNNOTICED.min(grace / 2)).await;
+        sleep(DEREGISTRATION.min(grace / 2)).await;
         self.context.close_connections();
         let quiet = async {
-            sleep(QUIET).await;
+            sleep(LATE_CONNECTIONS).await;
             while self.context.in_progress() > 0 || self.context.open_connections() > 0 {
-                sleep(LOOK).await;
+                sleep(STOP_POLL).await;
             }
         };
         tokio::select! {
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -1,4 +1,4 @@
-//! Heeding what endpoints say of themselves in their answers.
+//! Applies what endpoints announce in their answers: drains, back-offs and cold starts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use super::target::Target;
 
 impl Context {
-    /// Takes in what the head of an answer says of its endpoint, whatever becomes of the
-    /// answer itself.
+    /// Applies what the head of an answer announces about its endpoint, also when the answer
+    /// itself is not used.
     ///
     /// The list of endpoints reports this later, and not at all while the store accepts no
-    /// writes. Without this, requests would still be sent to endpoints that leave or rest.
+    /// writes. Without this, requests would still be sent to endpoints that drain or back off.
     pub fn observe_answer_head(&self, parsed: &Parsed, target: &Arc<Target>, said: &AnswerHead) {
         if said.leaves && !target.is_draining() {
             let (id, endpoint) = (&parsed.call.id, &target.name);
@@ -33,7 +33,7 @@
 }
 
 impl State {
-    /// Takes in that a run of an endpoint leaves; it gets nothing more.
+    /// Records that a run of an endpoint is draining, so that it gets no further requests.
     fn record_drain(&self, run: Run, from: &str) {
         let now = self.clock().now();
         let mut inner = self.lock();
@@ -44,15 +44,15 @@
         }
     }
 
-    /// Takes in what an agent heard of its engine's leaving. The word may be of another run
-    /// than the one that is listed.
+    /// Records a drain of an engine that its agent reports. The report may be of another run than
+    /// the listed one, and is ignored then.
     pub(super) fn record_agent_drain(&self, target: &Target, departure: Drain) {
         if target.matches_start(departure.start) && !target.is_draining() {
             self.record_drain(target.run, "agent");
         }
     }
 
-    /// Takes in which endpoints leave, as another gateway knows it.
+    /// Merges the drains that another gateway knows.
     pub fn merge_drains(&self, told: &[Update]) {
         if told.is_empty() {
             return;
@@ -67,13 +67,14 @@
         }
     }
 
-    /// Takes in that an endpoint wants no requests of this gateway for a while.
+    /// Records that an endpoint asked this gateway to send no requests for a time.
     fn record_backoff(&self, target: &Target, rest: Duration) {
         let until = self.clock().now().saturating_add(rest);
         target.extend_backoff(until);
         let mut inner = self.lock();
         inner.notices.record_backoff(target.run, until);
-        // Its entry may have gone and come back since the request was sent.
+        // Its entry may have been removed and added again since the request was sent, with a new
+        // target.
         let known = inner.targets.get(&target.name).filter(|known| known.run == target.run);
         if let Some(known) = known {
             known.extend_backoff(until);
--- a/src/cinderspoke/gateway/options.rs
+++ b/src/cinderspoke/gateway/options.rs
@@ -1,4 +1,4 @@
-//! What the settings ask of a gateway.
+//! The settings of a gateway that may change while it runs.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 
 use crate::util::settings::{inner_address, seed_addresses};
 
-/// How long news of endpoints gather before the next watch, as a part of the time in which
-/// nothing new may reach an endpoint that leaves: each watch is paid for, and many endpoints
-/// change at once.
-const GATHER: f64 = 0.2;
+/// How long changes of endpoints are batched before the next watch, as a fraction of the time
+/// after which a draining endpoint may get no new requests. Each watch costs a call to the
+/// store, and many endpoints change at once.
+const BATCH_FRACTION: f64 = 0.2;
 
-/// What the settings ask of a gateway, as far as it may change while it runs.
+/// The settings of a gateway that may change while it runs.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The budget of sends beyond the first.
+    /// The retry budget.
     pub budget: budget::Options,
-    /// How long after a version was named an older one may begin requests.
+    /// How long after a version was named requests may still begin with an older one.
     pub overlap: Overlap,
-    /// How long news of endpoints gather before the store is asked for more.
+    /// How long changes of endpoints are batched before the next watch of the store.
     pub gather: Duration,
-    /// How long the gateway may take to stop.
+    /// The grace period: how long the gateway may take to stop.
     pub grace: Duration,
     /// The region of each availability zone.
     pub regions: HashMap<String, String>,
-    /// Whether operators may empty availability zones, so that nothing is sent before it is
-    /// known which ones are.
+    /// Whether operators may evacuate availability zones. If so, nothing is sent until it is
+    /// known which ones are evacuated.
     pub evacuates: bool,
-    /// What a cold endpoint may receive; none without a bound.
+    /// The limit of requests to a cold endpoint; none for no limit.
     pub cold: Option<cold::Options>,
-    /// Gateways to be told of this one while it knows of no others.
+    /// Gateways to which this one announces itself while it knows of no others.
     pub seeds: Vec<SocketAddr>,
 }
 
@@ -45,7 +45,7 @@
         self.regions.values().collect::<BTreeSet<_>>().len()
     }
 
-    /// The terms of some settings.
+    /// Extracts the options from settings.
     #[must_use]
     pub fn new(settings: &settings::Node) -> Self {
         let (bounds, own) = (&settings.bounds, inner_address(settings));
@@ -56,11 +56,11 @@
                 ratio: bounds.retry_budget_ratio,
                 window,
                 slack: bounds.budget_slack,
-                // Before the whole system's first start nothing was spent.
+                // Nothing has been spent before the first start of the whole system.
                 slack_from: if settings.first_start { Duration::ZERO } else { window },
             },
             overlap,
-            gather: Duration::from_millis(bounds.drain_ms).mul_f64(GATHER),
+            gather: Duration::from_millis(bounds.drain_ms).mul_f64(BATCH_FRACTION),
             grace: Duration::from_secs_f64(bounds.grace_s),
             regions: settings.regions.clone(),
             evacuates: bounds.evacuate_ms.is_some(),
--- a/src/cinderspoke/gateway/plan.rs
+++ b/src/cinderspoke/gateway/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what the agents of a service have to know, made of what a gateway knows.
+//! Plans: what the agents of a service need to know, made from the gateway's state.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,28 +9,28 @@
 use super::message::{Peer, Plan};
 use super::state::State;
 
-/// A plan's hash, and the number of the view that the plan is of.
+/// A plan's hash, and the generation of the view from which the plan was made.
 #[derive(Debug, Clone, Copy)]
 struct Hashed {
     view: u64,
     hash: u64,
 }
 
-/// Makes plans, and keeps their hashes.
+/// Makes plans and caches their hashes.
 pub struct Planner {
     state: Arc<State>,
     hashes: Mutex<HashMap<Service, Hashed>>,
 }
 
 impl Planner {
-    /// A planner of what a gateway knows.
+    /// Creates a planner on a gateway's state.
     #[must_use]
     pub fn new(state: Arc<State>) -> Self {
         Self { state, hashes: Mutex::default() }
     }
 
-    /// The hash of a service's plan, made anew only when something is known anew:
-    /// it is asked for with each report.
+    /// The hash of a service's plan. It is computed again only after the view changed, since each
+    /// report of an agent needs it.
     #[must_use]
     pub fn hash(&self, service: &Service) -> u64 {
         let view = self.state.view().generation;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What agents of a service have to know.
+    /// The plan of a service.
     #[must_use]
     pub fn plan(&self, service: &Service) -> Plan {
         let view = self.state.view();
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -1,5 +1,5 @@
-//! What a gateway believes of others with regard to configurations: who reads them from the
-//! store, who has which, and what it tells of its own.
+//! State on the distribution of configurations: which gateways read them from the store, which
+//! version each gateway has, and what this one sends to others.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,15 +14,16 @@
 use super::state::State;
 
 impl State {
-    /// Takes in what another gateway says of itself and of its configuration; true when it
-    /// was not heard of before.
+    /// Records the announcement and the configuration version in the summary of another gateway.
+    /// Returns true if this is the first summary from it.
     pub fn observe_summary(&self, from: SocketAddr, known: &Summary) -> bool {
         let (now, version) = (self.clock().now(), known.configuration);
         let mut inner = self.lock();
         let is_new = inner.region.observe(from, &known.announcement, version, now);
         let in_force = inner.version();
         if version == in_force {
-            // It still is the newest then: history that is too old is forgotten.
+            // The version in force is still the newest at that revision. The newer revision matters
+            // since the store drops old history, so that a watch from an older one fails.
             let revision = inner.configuration.revision.max(known.configuration_revision);
             inner.configuration.revision = revision;
         }
@@ -34,7 +35,7 @@
         is_new
     }
 
-    /// Takes in that the store has no newer configuration at a revision.
+    /// Records that the store has no newer configuration at a revision.
     pub fn confirm_configuration(&self, revision: Revision) {
         let mut inner = self.lock();
         inner.configuration.revision = inner.configuration.revision.max(revision);
@@ -48,21 +49,22 @@
         inner.configuration.value.as_ref().map(|_| inner.configuration.revision)
     }
 
-    /// For how long a newer configuration than the one in force has been known to be.
+    /// For how long a newer configuration than the one in force has been known to exist.
     #[must_use]
     pub fn configuration_behind(&self) -> Duration {
         let inner = self.lock();
         inner.lag.behind(inner.version(), self.clock().now())
     }
 
-    /// Whether a newer configuration is known, and those who were to tell it have not in time.
+    /// Whether a newer configuration is known to exist and did not arrive from other gateways in
+    /// time.
     #[must_use]
     pub fn is_configuration_overdue(&self) -> bool {
         let behind = self.configuration_behind();
         behind > self.lock().region.own_read_delay(self.clock().now())
     }
 
-    /// Takes in whether the store answers this gateway when it asks for the configuration.
+    /// Records whether the store answered this gateway's last call for the configuration.
     pub fn record_configuration_call(&self, answered: bool) {
         self.lock().region.set_platform_answers(answered);
     }
@@ -73,25 +75,26 @@
         self.lock().region.role(self.options().region_count(), self.clock().now())
     }
 
-    /// Has another gateway read the configuration, as this one is about to stop.
+    /// Gives up the role of a reader, since this gateway is about to stop, so that another one
+    /// takes over.
     pub fn resign(&self) {
         self.lock().region.start_draining();
     }
 
-    /// How many gateways read it.
+    /// The number of gateways that read the configuration from the store.
     #[must_use]
     pub fn readers(&self) -> usize {
         Table::readers(self.options().region_count()).min(self.view().gateways)
     }
 
-    /// What this gateway says of itself.
+    /// What this gateway announces of itself.
     #[must_use]
     pub fn announcement(&self) -> Announcement {
         self.lock().region.announcement(self.options().region_count(), self.clock().now())
     }
 
-    /// Adds a gateway that others name; true when it was not known and is to be greeted: it
-    /// may be of this region, where those who read have to know of it.
+    /// Adds a gateway that others named. Returns true if it was not known and is to be sent a
+    /// digest: it may be of this region, whose readers need to know it.
     pub fn discover_gateway(&self, gateway: GatewayInfo) -> bool {
         let is_new = self.observe_gateway(gateway.address, false);
         let options = self.options();
@@ -104,7 +107,7 @@
         is_new && inner.region.is_local(gateway.address)
     }
 
-    /// Some gateways as they are named to others.
+    /// Some gateways with the tags of their regions, to name them to others.
     #[must_use]
     pub fn gateway_infos(
         &self,
@@ -117,7 +120,7 @@
         named.collect()
     }
 
-    /// The other gateways that are known of a region.
+    /// The known other gateways of a region.
     #[must_use]
     pub fn gateways_in(&self, region: &Region) -> Vec<SocketAddr> {
         self.lock().region.gateways_in(region)
@@ -129,19 +132,19 @@
         self.lock().region.is_local(gateway)
     }
 
-    /// Whether this gateway tells other regions of news.
+    /// Whether this gateway sends updates to other regions.
     #[must_use]
     pub fn gossips_across_regions(&self) -> bool {
         self.lock().region.sends_to_other_regions(self.options().region_count(), self.clock().now())
     }
 
-    /// The other gateways of the region.
+    /// The other gateways of this gateway's region.
     #[must_use]
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         self.lock().region.local_peers()
     }
 
-    /// How the configuration is got, if another gateway has a newer one.
+    /// The next step to fetch the configuration, if another gateway has a newer one.
     #[must_use]
     pub fn next_fetch_step(&self, draw: f64) -> Step {
         let (role, behind) = (self.role(), self.configuration_behind());
@@ -149,12 +152,12 @@
         inner.region.next_step(inner.version(), behind, role, self.clock().now(), draw)
     }
 
-    /// Takes in that a gateway was asked for its configuration.
+    /// Records that the configuration is requested from a gateway.
     pub fn record_fetch_attempt(&self, gateway: SocketAddr) {
         self.lock().region.record_query(gateway);
     }
 
-    /// The version of the configuration in force, and what tells it apart from others.
+    /// The version and the hash of the configuration in force.
     #[must_use]
     pub fn configuration_identity(&self) -> (u64, Hash) {
         let inner = self.lock();
@@ -162,8 +165,8 @@
         (inner.version(), hash.unwrap_or_default())
     }
 
-    /// The configuration, if it is newer than a version: what differs from the one with a
-    /// hash, or all of it where that one is not known any more.
+    /// The configuration, if it is newer than a version: as a difference from the one with a hash,
+    /// or whole if that one is no longer kept.
     #[must_use]
     pub fn configuration_after(&self, version: u64, held: Hash) -> Option<Fact<Configuration>> {
         let inner = self.lock();
@@ -181,11 +184,11 @@
         Some(Fact::new(revision, told))
     }
 
-    /// Takes in a configuration that another gateway told.
+    /// Applies a configuration from another gateway.
     ///
     /// # Errors
     ///
-    /// When it is told by one that is not in force here any more.
+    /// When it is a difference from a configuration other than the one in force.
     pub fn apply_configuration_update(&self, fact: Fact<Configuration>) -> Result<(), ApplyError> {
         let Fact { revision, value } = fact;
         let catalog = match value {
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -1,9 +1,9 @@
-//! What processes of the system tell each other.
+//! Exchanges state with other gateways and with agents.
 //!
-//! Gateways say in datagrams what they know, at once when there is news and
-//! from time to time to one of the others, so that a lost datagram is made
-//! good. Whoever knows less fetches the [`facts`] over HTTP. Agents report what their
-//! engines are busy with, and are hinted at plans that they do not know.
+//! Gateways gossip: they send each other digests of their state as datagrams, immediately after
+//! an update and periodically to a random gateway, so that lost datagrams are compensated. A
+//! gateway that finds newer data in a digest fetches the [`facts`] over HTTP. Agents report the
+//! load of their engines and are sent a hint when their plan is outdated.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -38,19 +38,19 @@
 use crate::util::settings::inner_address;
 use crate::util::stop;
 
-/// How long after a round of telling news to all the next one may begin.
-const PUSH_PAUSE: Duration = Duration::from_millis(100);
+/// The pause between two rounds of sending updates.
+const PUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often it is looked whether this gateway still is to read the configuration.
-const LOOK_AT_ROLE: Duration = Duration::from_millis(100);
+/// How often this gateway checks whether its role has changed.
+const ROLE_POLL: Duration = Duration::from_millis(100);
 
-/// How often seeds are told of this gateway until one of them answers: they may start later.
-const GREETING: Duration = Duration::from_millis(100);
+/// How often digests are sent to the seeds until one of them answers: seeds may start later.
+const SEED_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many gateways a digest names at most, sampled anew each time.
-const NAMED_GATEWAYS: usize = 8;
+/// The maximum number of gateways named in a digest; a new random sample each time.
+const MAX_NAMED_GATEWAYS: usize = 8;
 
-/// Tells other processes what this gateway knows, and learns from them.
+/// Sends this gateway's state to other processes, and applies theirs.
 pub struct Relay {
     own: SocketAddr,
     region: Region,
@@ -59,13 +59,13 @@
     socket: Arc<UdpSocket>,
     agents: Agents,
     planner: Planner,
-    // Whether a newer configuration, or a newer list, is waited for or fetched.
+    // Whether a newer configuration is being fetched, and the newer list that is awaited.
     pub(super) awaiting_configuration: AtomicBool,
     pub(super) awaited_list: Mutex<Option<Awaited>>,
 }
 
 impl Relay {
-    /// A relay that receives on a socket.
+    /// Creates a relay that sends and receives on a socket.
     #[must_use]
     pub fn new(
         settings: &settings::Node,
@@ -90,15 +90,15 @@
         }
     }
 
-    /// What other processes may ask.
+    /// The HTTP routes for other processes.
     pub fn app(self: &Arc<Self>) -> Router {
         Router::new()
-            .route("/v1/facts", get(facts::tell))
+            .route("/v1/facts", get(facts::serve))
             .route("/v1/plan", get(plan))
             .with_state(Arc::clone(self))
     }
 
-    /// Starts telling and learning.
+    /// Starts the tasks of the exchange.
     pub fn spawn(self: &Arc<Self>, token: CancellationToken) {
         let spawn = |task: std::pin::Pin<Box<dyn Future<Output = ()> + Send>>| {
             tokio::spawn(stop::until(token.clone(), task));
@@ -106,12 +106,12 @@
         spawn(Box::pin(Arc::clone(self).receive()));
         spawn(Box::pin(Arc::clone(self).push()));
         spawn(Box::pin(Arc::clone(self).gossip()));
-        spawn(Box::pin(Arc::clone(self).tell_region()));
-        spawn(Box::pin(Arc::clone(self).tell_outstanding()));
+        spawn(Box::pin(Arc::clone(self).push_to_region()));
+        spawn(Box::pin(Arc::clone(self).push_outstanding()));
         spawn(Box::pin(Arc::clone(self).subscribe()));
     }
 
-    /// Takes in what other processes say.
+    /// Handles the datagrams of other processes.
     async fn receive(self: Arc<Self>) {
         let mut buffer = buffer();
         loop {
@@ -143,7 +143,7 @@
                     }
                     self.on_agent(from, service, plan).await;
                 }
-                // Meant for agents only.
+                // Sent to agents only.
                 Datagram::Hint { .. }
                 | Datagram::Echo { .. }
                 | Datagram::Outstanding { .. }
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Learns from what another gateway knows, and tells it what it does not.
+    /// Applies another gateway's digest, fetches newer data from it, and answers with a digest if
+    /// the other gateway is behind or new.
     async fn on_digest(
         self: &Arc<Self>,
         from: SocketAddr,
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Adds gateways that another one names, and greets those that are new and may be of
-    /// this region, so that each knows of the other.
+    /// Adds gateways that another one named, and sends a digest to new ones that may be of this
+    /// region, so that both know of each other.
     pub(super) async fn meet(&self, gateways: Vec<GatewayInfo>) {
         for gateway in gateways.into_iter().filter(|gateway| gateway.address != self.own) {
             if self.state.discover_gateway(gateway) {
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Hints an agent at its service's plan if it does not know it.
+    /// Handles the plan in an agent's report: sends a hint if it is outdated.
     async fn on_agent(&self, from: SocketAddr, service: Service, plan: u64) {
         let wanted = self.planner.hash(&service);
         if self.agents.record_report(from, service, plan, wanted) {
@@ -203,31 +204,31 @@
         }
     }
 
-    /// Tells an agent that there is a plan that it does not know.
+    /// Sends an agent a hint that there is a plan that it does not know.
     async fn hint(&self, agent: SocketAddr, plan: u64) {
         let hint = Datagram::Hint { from: self.own, region: self.region.clone(), plan_hash: plan };
         send(&self.socket, agent, &pack(&hint)).await;
     }
 
-    /// Tells some gateways of news at once; they tell others.
+    /// Sends updates to some gateways immediately; they forward them to others.
     async fn push(self: Arc<Self>) {
         let mut changes = self.state.subscribe();
         loop {
             changes.changed().await;
             let digest = self.digest();
-            for gateway in self.told_of_news() {
+            for gateway in self.update_targets() {
                 send(&self.socket, gateway, &digest).await;
             }
             self.hint_all().await;
-            sleep(PUSH_PAUSE).await;
+            sleep(PUSH_INTERVAL).await;
         }
     }
 
-    /// The gateways that this one tells of news, sampled anew each time: some of its own region,
-    /// and some of all where it reads from the platform or hears of no such gateway nearby.
-    /// Others leave that to those who read: of news, as many copies cross the links between
-    /// regions as there are regions, and not as there are gateways.
-    fn told_of_news(&self) -> BTreeSet<SocketAddr> {
+    /// Samples the gateways to which an update is sent: some of the own region, and also some of
+    /// all regions if this gateway reads from the store or knows of no gateway in its region
+    /// that does. Other gateways leave that to the readers, so that the number of copies that
+    /// cross the links between regions grows with the number of regions, not of gateways.
+    fn update_targets(&self) -> BTreeSet<SocketAddr> {
         let sample = |gateways: Vec<SocketAddr>| {
             let told = gossip::fanout(gateways.len());
             let sampled = rand::seq::index::sample(&mut rand::rng(), gateways.len(), told);
@@ -241,26 +242,31 @@
         }
     }
 
-    /// Hints every agent that does not know its service's plan.
+    /// Sends a hint to every agent whose plan is outdated.
     async fn hint_all(&self) {
         for (agent, plan) in self.agents.outdated(|service| self.planner.hash(service)) {
             self.hint(agent, plan).await;
         }
     }
 
-    /// Tells the whole region what this gateway knows while it reads the configuration, and
-    /// when it begins or ceases to, so that another one takes over where it ends.
-    async fn tell_region(self: Arc<Self>) {
+    /// Sends digests to the whole region periodically while this gateway reads the configuration,
+    /// and when it becomes or ceases to be a reader, so that another one takes over when this
+    /// one ends.
+    async fn push_to_region(self: Arc<Self>) {
         let mut role = Role::Follower;
         let mut told = Instant::now();
         loop {
-            sleep(LOOK_AT_ROLE).await;
+            sleep(ROLE_POLL).await;
             let before = std::mem::replace(&mut role, self.state.role());
             if role != before {
                 let behind_ms = self.state.configuration_behind().as_millis() as u64;
                 match role {
-                    Role::Reader => tracing::info!(behind_ms, "configuration is read from the store here"),
-                    Role::Follower => tracing::info!(behind_ms, "configuration is received from other gateways"),
+                    Role::Reader => {
+                        tracing::info!(behind_ms, "configuration is read from the store here")
+                    }
+                    Role::Follower => {
+                        tracing::info!(behind_ms, "configuration is received from other gateways")
+                    }
                 }
             }
             if role == before
@@ -276,7 +282,7 @@
         }
     }
 
-    /// Tells one gateway after the other, in a random order.
+    /// Sends a digest to a random gateway periodically, or to the seeds while no other is known.
     async fn gossip(self: Arc<Self>) {
         loop {
             let others = self.others();
@@ -290,16 +296,16 @@
             for target in targets {
                 send(&self.socket, target, &digest).await;
             }
-            sleep(if others.is_empty() { GREETING } else { gossip::PERIOD }).await;
+            sleep(if others.is_empty() { SEED_INTERVAL } else { gossip::PERIOD }).await;
         }
     }
 
-    /// Tells agents what this gateway has outstanding at their engines.
-    async fn tell_outstanding(self: Arc<Self>) {
+    /// Sends agents this gateway's outstanding requests at their engines.
+    async fn push_outstanding(self: Arc<Self>) {
         outstanding::publish(&self.state, &self.socket, self.own).await;
     }
 
-    /// Has the agents of some engines report here.
+    /// Subscribes to the reports of the agents of some engines.
     async fn subscribe(self: Arc<Self>) {
         let subscribe = pack(&Datagram::Subscribe { from: self.own });
         let mut ticks = interval(subset::RENEWAL_INTERVAL);
@@ -312,15 +318,15 @@
         }
     }
 
-    /// The gateways that are known besides this one.
+    /// The known other gateways.
     pub(super) fn others(&self) -> Vec<SocketAddr> {
         let mut others = self.state.gateways();
         others.retain(|other| *other != self.own);
         others
     }
 
-    /// What this gateway knows, for one of a region: those that are named are of the same one,
-    /// if any are known, so that one that starts soon knows who reads there.
+    /// A digest for a gateway of a region. It names gateways of that region, if any are known, so
+    /// that a starting gateway soon finds the readers of its region.
     fn digest_for(&self, region: &Region) -> Vec<u8> {
         match self.state.gateways_in(region) {
             near if near.is_empty() => self.digest(),
@@ -328,26 +334,26 @@
         }
     }
 
-    /// What this gateway knows, as a datagram.
+    /// A digest of this gateway's state, encoded.
     fn digest(&self) -> Vec<u8> {
         self.digest_naming(self.others())
     }
 
     fn digest_naming(&self, others: Vec<SocketAddr>) -> Vec<u8> {
-        let count = others.len().min(NAMED_GATEWAYS);
+        let count = others.len().min(MAX_NAMED_GATEWAYS);
         let sampled = rand::seq::index::sample(&mut rand::rng(), others.len(), count);
         let gateways = self.state.gateway_infos(sampled.into_iter().map(|number| others[number]));
         pack(&Datagram::Digest { from: self.own, summary: self.state.summary(), gateways })
     }
 }
 
-/// The service whose plan is asked for.
+/// The query of a request for a plan.
 #[derive(Debug, Deserialize)]
 struct Wanted {
     service: String,
 }
 
-/// Tells an agent its service's plan, once a configuration is known.
+/// Serves an agent its service's plan; unavailable until a configuration is known.
 async fn plan(
     State(relay): State<Arc<Relay>>,
     Query(wanted): Query<Wanted>,
--- a/src/cinderspoke/gateway/socket.rs
+++ b/src/cinderspoke/gateway/socket.rs
@@ -1,8 +1,8 @@
-//! A connection that is reset when it is closed.
+//! A TCP connection that is reset when it is closed.
 //!
-//! A request that was given up may still be on its way, behind a full link or a
-//! cut. Closed in order, the connection would bring it to the endpoint later; a
-//! reset has what is held up thrown away.
+//! The data of an abandoned request may still be in the send buffer, because the link is
+//! saturated or interrupted. An orderly close would deliver it to the endpoint later; a reset
+//! discards it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,17 +14,18 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection that is reset when it is dropped.
-// Invariant: the stream lingers for no time, so that dropping it resets.
+/// A TCP connection that is reset when it is dropped.
+// Invariant: the linger time of the stream is zero, so that dropping it resets it.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
 impl Socket {
-    /// Connects to an endpoint, and gives up without acknowledgement after a time.
+    /// Connects to an endpoint. The connection fails when data that was sent stays unacknowledged
+    /// for the given time.
     ///
     /// # Errors
     ///
-    /// When the endpoint cannot be reached.
+    /// When the endpoint cannot be reached or a socket option cannot be set.
     pub async fn open(address: SocketAddr, unacknowledged: Duration) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -58,7 +59,7 @@
         Pin::new(&mut self.0).poll_flush(context)
     }
 
-    /// Does nothing: an orderly end would have the rest of a request delivered.
+    /// Does nothing: an orderly shutdown would deliver the rest of a request.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -1,4 +1,5 @@
-//! What a gateway knows: facts are taken in, and shown to requests as a view.
+//! A gateway's shared state: updates are applied under a lock, and requests read a
+//! [`View`] that is rebuilt after each update.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,32 +33,32 @@
 use crate::util::settings::inner_address;
 use crate::util::signal::{Receiver, Signal};
 
-/// How often gateways are counted anew at most. Among many there is always one that is
-/// about to be silent for too long, and each count looks at all of them.
-const COUNT: Duration = Duration::from_secs(1);
+/// The minimum time between two counts of the gateways. Among many there is always one whose
+/// liveness timeout is about to end, and each count iterates over all of them.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a gateway knows.
+/// The shared state of a gateway.
 pub struct State {
     inner: Mutex<Inner>,
-    // Made anew from the state at each change.
+    // Rebuilt from `inner` at each change.
     view: ArcSwap<View>,
-    // Until when the view's number of gateways holds, in milliseconds of the clock.
+    // Until when the view's number of gateways is valid, in milliseconds of the clock.
     counted_until: AtomicU64,
     changes: Signal,
-    doubts: Signal,
-    kept: Signal,
+    resyncs: Signal,
+    retention_changed: Signal,
     outstanding_changes: Arc<outstanding::Changes>,
     queries: Queries,
     suspects: Suspects,
     options: ArcSwap<Options>,
     zone: Zone,
-    // By which this gateway is ranked among all.
+    // The key by which this gateway is ranked among all gateways.
     key: Key,
     clock: Clock,
 }
 
 impl State {
-    /// Nothing is known yet.
+    /// Creates the empty state of a gateway.
     #[must_use]
     pub fn new(settings: &settings::Node, options: Options, clock: Clock) -> Self {
         let own = inner_address(settings);
@@ -67,8 +68,8 @@
             view: ArcSwap::default(),
             counted_until: AtomicU64::new(u64::MAX),
             changes: Signal::default(),
-            doubts: Signal::default(),
-            kept: Signal::default(),
+            resyncs: Signal::default(),
+            retention_changed: Signal::default(),
             outstanding_changes: Arc::default(),
             queries: Queries::default(),
             suspects: Suspects::new(&settings.instance),
@@ -83,7 +84,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known now.
+    /// The current snapshot.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         if self.clock.now().as_millis() as u64 > self.counted_until.load(Ordering::Relaxed) {
@@ -92,8 +93,8 @@
         self.view.load_full()
     }
 
-    /// Counts gateways without other news: the share of one that ended is given to the
-    /// others when it has been silent for too long.
+    /// Counts the gateways again although nothing else changed: when the liveness timeout of one
+    /// has passed, the others take over its share.
     fn recount_gateways(&self) {
         let inner = self.lock();
         let (before, gateways) = (self.view.load_full(), self.count_gateways(&inner));
@@ -103,7 +104,7 @@
         }
     }
 
-    /// How many gateways there are now, this one among them.
+    /// Counts the live gateways, this one included, and records how long the count is valid.
     fn count_gateways(&self, inner: &Inner) -> usize {
         let (now, patience) = (self.clock.now(), liveness_timeout(inner.gateways.len()));
         let silent_at = inner.gateways.values().map(|heard| *heard + patience);
@@ -111,7 +112,7 @@
         let (others, first) = alive.fold((0, Duration::MAX), |(others, first), silent_at| {
             (others + 1, first.min(silent_at))
         });
-        let until = first.max(now + COUNT).as_millis();
+        let until = first.max(now + COUNT_INTERVAL).as_millis();
         self.counted_until.store(u64::try_from(until).unwrap_or(u64::MAX), Ordering::Relaxed);
         1 + others
     }
@@ -131,7 +132,7 @@
         self.changes.raise();
     }
 
-    /// The key by which this gateway is ranked among all.
+    /// The key by which this gateway is ranked among all gateways.
     #[must_use]
     pub fn key(&self) -> Key {
         self.key
@@ -143,13 +144,13 @@
         self.clock
     }
 
-    /// Endpoints at which something has changed that their agents were not told.
+    /// The endpoints whose outstanding requests changed since their agents were last informed.
     #[must_use]
     pub fn outstanding_changes(&self) -> Arc<outstanding::Changes> {
         Arc::clone(&self.outstanding_changes)
     }
 
-    /// Asks agents what their engines hold.
+    /// The queries to agents.
     #[must_use]
     pub fn queries(&self) -> &Queries {
         &self.queries
@@ -161,44 +162,44 @@
         self.lock().targets.values().cloned().collect()
     }
 
-    /// Requests under which endpoints ended.
+    /// The requests during which endpoints ended.
     #[must_use]
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Has others told soon of what is news.
+    /// Notifies the tasks that send updates to other processes.
     pub fn publish(&self) {
         self.changes.raise();
     }
 
-    /// A way to wait for news.
+    /// Returns a receiver that is notified when there are updates for other processes.
     #[must_use]
     pub fn subscribe(&self) -> Receiver {
         self.changes.subscribe()
     }
 
-    /// Takes in that the store may have news that its watches did not bring.
+    /// Requests a resync with the store, since its watches may have missed changes.
     pub fn request_resync(&self) {
-        self.doubts.raise();
+        self.resyncs.raise();
     }
 
-    /// A way to wait for the next doubt about the store's watches.
+    /// Returns a receiver that is notified when a resync with the store is requested.
     #[must_use]
     pub fn resync_requests(&self) -> Receiver {
-        self.doubts.subscribe()
+        self.resyncs.subscribe()
     }
 
-    /// Takes in a configuration; true when it is newer than the one in force.
+    /// Applies a configuration. Returns true if it is newer than the one in force.
     pub fn apply_configuration(&self, fact: Fact<Declared>, from: &str) -> bool {
-        // Indexing it is spared where it is known.
+        // Avoids indexing a configuration that is not newer.
         if !self.lock().is_newer(fact.value.version) {
             return false;
         }
         self.apply_catalog(Fact::new(fact.revision, fact.value.into()), from)
     }
 
-    /// Puts a configuration in force, if it is newer than the one that is.
+    /// Applies an indexed configuration, if it is newer than the one in force.
     pub(super) fn apply_catalog(&self, fact: Fact<Catalog>, from: &str) -> bool {
         let Fact { revision, value: catalog } = fact;
         let mut inner = self.lock();
@@ -214,7 +215,11 @@
         let behind_ms = inner.lag.behind(before, now).as_millis() as u64;
         let unknown = catalog.unknown_regions(|region| self.is_region(region));
         if !unknown.is_empty() {
-            tracing::warn!(version, ?unknown, "routes or teams name regions that the settings do not");
+            tracing::warn!(
+                version,
+                ?unknown,
+                "routes or teams name regions that the settings do not"
+            );
         }
         inner.set_catalog(Arc::new(catalog), revision);
         self.rebuild_view(&mut inner);
@@ -224,48 +229,49 @@
         true
     }
 
-    /// Takes in the whole list of endpoints.
+    /// Replaces the list of endpoints. Returns true if the effective list changed.
     pub fn apply_directory(&self, fact: Fact<Directory>, from: &str) -> bool {
         let now = self.clock.now();
         self.change_directory(from, |tracker| tracker.replace(fact.revision, fact.value, now))
     }
 
-    /// Takes in changes of the list of endpoints.
+    /// Applies changes to the list of endpoints. Returns true if the effective list changed.
     pub fn apply_directory_changes(&self, fact: Fact<Vec<Change>>, from: &str) -> bool {
         let now = self.clock.now();
         self.change_directory(from, |tracker| tracker.apply(fact.revision, fact.value, now))
     }
 
-    /// Takes in that the platform should have answered a call at a time, and has not.
+    /// Records that the store did not answer a call that was due at a time.
     pub fn record_store_failure(&self, due: Duration) {
         self.lock().outage.record_failure(due);
     }
 
-    /// Takes in that the platform has not answered since a time.
+    /// Records the start of an outage: the store has not answered since a time.
     pub fn record_outage_start(&self, since: Duration) {
         self.lock().outage.record_loss(since);
     }
 
-    /// Takes in that the platform has answered.
+    /// Records an answer of the store.
     pub fn record_store_answer(&self) {
         let now = self.clock.now();
         self.lock().outage.record_answer(now);
     }
 
-    /// Takes in that the platform answers again after it had been away. Where it
-    /// answered others meanwhile, no entries have lapsed by that.
+    /// Records the end of an outage: the store answers again. If it answered other gateways
+    /// meanwhile, the outage was local and no entries have expired because of it.
     pub fn record_outage_end(&self) {
         let now = self.clock.now();
         let mut inner = self.lock();
         inner.outage.record_return(now);
-        // Each kind of fact is read again at its own time; entries return from the first on.
+        // Each kind of data is read again at its own time; entries may be registered again from
+        // the first of these answers on.
         if let Some(at) = inner.outage.ended().filter(|_| !inner.outage.is_local()) {
             let away = inner.outage.last_unanswered().unwrap_or(at);
             inner.tracker.record_recovery(at, away);
         }
     }
 
-    /// Takes in how long ago the platform answered some gateway.
+    /// Merges how long ago the store answered other gateways.
     pub fn merge_store_answers(&self, answers: &[Ago]) {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -278,31 +284,31 @@
         self.change_directory("gateway", Tracker::record_local_outage);
     }
 
-    /// When an entry that is kept is to be given up next; none if none is.
+    /// When the next retained entry expires; none if none is retained.
     #[must_use]
     pub fn next_retention_end(&self) -> Option<Duration> {
         self.lock().tracker.next_expiry()
     }
 
-    /// A way to wait until other entries are kept than before.
+    /// Returns a receiver that is notified when the next expiry of a retained entry changes.
     #[must_use]
     pub fn retention_changes(&self) -> Receiver {
-        self.kept.subscribe()
+        self.retention_changed.subscribe()
     }
 
-    /// Gives up entries that lapsed while the platform was away and are not back.
+    /// Removes the entries that expired during an outage and did not return in time.
     pub fn expire_retained(&self) {
         let now = self.clock.now();
         self.change_directory("outage", |tracker| tracker.expire(now));
     }
 
-    /// Changes the list of endpoints; makes it known if it is another then.
+    /// Changes the list of endpoints, and rebuilds the view and publishes the list if it differs.
     fn change_directory(&self, from: &str, change: impl FnOnce(&mut Tracker) -> bool) -> bool {
         let mut inner = self.lock();
         let due = inner.tracker.next_expiry();
         let changed = change(&mut inner.tracker);
         if inner.tracker.next_expiry() != due {
-            self.kept.raise();
+            self.retention_changed.raise();
         }
         if changed {
             inner.sync_targets(self.clock.now());
@@ -315,8 +321,8 @@
         changed
     }
 
-    /// Takes in what an agent says of the endpoint of a service at an address, by itself or
-    /// in answer to a question.
+    /// Records an agent's load report on the endpoint of a service at an address. `is_answer` tells
+    /// whether it answers a query or is a periodic one.
     pub fn record_report(
         &self,
         endpoint: (Service, SocketAddr),
@@ -337,7 +343,7 @@
             tracking.agent = Some(agent);
             let now = self.clock.now();
             if let Some(cold) = cold.filter(|_| tracking.load.report(now).is_none()) {
-                // It may have started anew while nothing was heard of it.
+                // It may have restarted while no report of it arrived.
                 target.extend_cold(now + cold.duration);
             }
             tracking.load.apply_report(report, told, now);
@@ -347,9 +353,9 @@
         }
     }
 
-    /// Takes in that a gateway was heard of, by itself or by others. One that others
-    /// name for the first time counts as heard of: if it lives, it spends its share.
-    /// True when it was not known at all.
+    /// Records contact with a gateway (`itself`), or that others named it. A gateway that others
+    /// name for the first time counts as live: if it runs, it already uses its share.
+    /// Returns true if it was not known before.
     pub fn observe_gateway(&self, gateway: SocketAddr, itself: bool) -> bool {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -370,19 +376,19 @@
         !known
     }
 
-    /// When another gateway last came to be known; zero before any.
+    /// When the newest of the other gateways was discovered; zero before the first.
     #[must_use]
     pub fn discovered_at(&self) -> Duration {
         self.lock().discovered_at
     }
 
-    /// Other gateways, alive or not.
+    /// The addresses of the other gateways, live or not.
     #[must_use]
     pub fn gateways(&self) -> Vec<SocketAddr> {
         self.lock().gateways.keys().copied().collect()
     }
 
-    /// What is known, in a few words that tell whether another process knows more.
+    /// A summary of the state, from which another process sees whether it has newer data.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let now = self.clock.now();
@@ -404,8 +410,7 @@
         (revision > Revision::default()).then_some(revision)
     }
 
-    /// The list of endpoints, if it is newer than a revision and not the list with
-    /// that hash.
+    /// The list of endpoints, if it is newer than a revision and its hash is not the given one.
     #[must_use]
     pub fn directory_after(&self, revision: Revision, hash: u64) -> Option<Fact<Directory>> {
         let inner = self.lock();
@@ -413,7 +418,7 @@
         newer.then(|| Fact::new(inner.tracker.revision(), inner.tracker.snapshot(self.clock.now())))
     }
 
-    /// Has runs of endpoints get nothing more, since they leave.
+    /// Marks runs of endpoints as draining, so that they get no further requests.
     pub(super) fn drain_runs(&self, inner: &mut Inner, runs: &[Run], from: &str) {
         for target in inner.targets.values().filter(|target| runs.contains(&target.run)) {
             target.set_draining();
@@ -422,7 +427,7 @@
         self.rebuild_view(inner);
     }
 
-    /// Makes what is known visible to requests.
+    /// Rebuilds the view that requests read.
     pub(super) fn rebuild_view(&self, inner: &mut Inner) {
         let mut members: BTreeMap<Service, Vec<Member>> = BTreeMap::new();
         for (target, entry) in inner.ready().filter(|(target, _)| !target.is_draining()) {
@@ -456,7 +461,7 @@
         options.regions.get(zone.as_str()).map(|region| region.as_str().into()).unwrap_or_default()
     }
 
-    /// How near an availability zone is to this gateway.
+    /// The distance of an availability zone from this gateway.
     fn distance(&self, zone: &Zone) -> Distance {
         let options = self.options();
         let region = |zone: &Zone| options.regions.get(zone.as_str());
--- a/src/cinderspoke/gateway/subset.rs
+++ b/src/cinderspoke/gateway/subset.rs
@@ -1,4 +1,4 @@
-//! The engines whose agents a gateway has report to it.
+//! The subset of engines whose agents report to this gateway.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,8 +11,8 @@
 use super::view::Member;
 
 impl State {
-    /// Chooses the engines of each service whose agents are to report here; gives their
-    /// addresses.
+    /// Selects for each service the engines whose agents are to report to this gateway. Returns
+    /// the addresses of the engines.
     #[must_use]
     pub fn subset(&self) -> Vec<SocketAddr> {
         let view = self.view();
@@ -21,7 +21,7 @@
         models.flat_map(|(_, members)| self.subset_of(members, gateways)).collect()
     }
 
-    /// The same of one service, where there are so many gateways in the region.
+    /// Selects the engines of one service, for a number of gateways in the region.
     fn subset_of(&self, members: &[Member], gateways: usize) -> Vec<SocketAddr> {
         let mut regions: BTreeMap<(bool, &Region), Vec<SocketAddr>> = BTreeMap::new();
         for member in members {
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -1,4 +1,4 @@
-//! Holding back the requests under which endpoints end, as all gateways know them.
+//! Quarantines requests during which endpoints ended, shared among all gateways.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,19 +13,19 @@
 use super::quarantine::Pending;
 use super::state::State;
 
-/// What a gateway knows of requests under which endpoints ended.
+/// The requests during which endpoints ended, as known to a gateway.
 #[derive(Debug)]
 pub struct Suspects {
     table: Mutex<Table>,
-    // Whether there are any: without one, no request has to be looked up.
+    // Whether there are any suspects; without one, the table is not locked for each request.
     any: AtomicBool,
-    // Ranks this gateway among all.
+    // The key by which this gateway is ranked among all gateways.
     key: Key,
     pending: Arc<Pending>,
 }
 
 impl Suspects {
-    /// Nothing is known yet to the gateway of a name.
+    /// Creates an empty table for the gateway with a name.
     #[must_use]
     pub fn new(gateway: &str) -> Self {
         Self {
@@ -36,13 +36,13 @@
         }
     }
 
-    /// What the store is to be told of them.
+    /// The changes of quarantines that are to be written to the store.
     #[must_use]
     pub fn pending(&self) -> Arc<Pending> {
         Arc::clone(&self.pending)
     }
 
-    /// Acts on the table; nothing else does meanwhile.
+    /// Runs a function with the table locked.
     fn with_table<T>(&self, act: impl FnOnce(&mut Table) -> T) -> T {
         let mut table: MutexGuard<'_, Table> =
             self.table.lock().unwrap_or_else(PoisonError::into_inner);
@@ -51,45 +51,45 @@
         acted
     }
 
-    /// Whether there are any.
+    /// Whether there are any suspects.
     #[must_use]
     pub fn any(&self) -> bool {
         self.any.load(Ordering::Relaxed)
     }
 
-    /// Whether endpoints ended before they answered a request.
+    /// Whether endpoints ended before they answered a request with this fingerprint.
     #[must_use]
     pub fn is_suspected(&self, fingerprint: Fingerprint) -> bool {
         self.any() && self.with_table(|table| table.is_suspected(fingerprint))
     }
 
-    /// Takes in that an endpoint ended before it answered a request.
+    /// Records that an endpoint ended before it answered a request.
     pub fn record_crash(&self, fingerprint: Fingerprint, crash: &Crash, now: Duration) -> Change {
         self.with_table(|table| table.record_crash(fingerprint, crash, now))
     }
 
-    /// Takes in that a request was answered.
+    /// Records that a request was answered.
     pub fn record_answer(&self, fingerprint: Fingerprint, now: Duration) -> Change {
         self.with_table(|table| table.record_answer(fingerprint, now))
     }
 
-    /// Whether a request may be sent.
+    /// Decides whether a request may be sent.
     pub fn admit(&self, fingerprint: Fingerprint, now: Duration) -> Admission {
         self.with_table(|table| table.admit(fingerprint, self.key, rand::random(), now))
     }
 
-    /// Takes in what another gateway tells.
+    /// Merges the updates of another gateway.
     pub fn merge(&self, told: &[Update], now: Duration) -> Merged {
         self.with_table(|table| table.merge(told, now))
     }
 
-    /// All that a gateway that asks is to be told.
+    /// All updates, for a gateway that requests them.
     #[must_use]
     pub fn all_updates(&self, now: Duration) -> Vec<Update> {
         if self.any() { self.with_table(|table| table.all_updates(now)) } else { Vec::new() }
     }
 
-    /// What other gateways are to be told.
+    /// The updates to be sent to other gateways.
     #[must_use]
     pub fn updates(&self, now: Duration) -> Vec<Update> {
         if self.any() { self.with_table(|table| table.updates(now)) } else { Vec::new() }
@@ -97,7 +97,7 @@
 }
 
 impl Context {
-    /// For how long a request is held back, if it may not be sent now.
+    /// How long a request is still quarantined, if it may not be sent now.
     pub fn quarantine_left(&self, parsed: &Parsed) -> Option<Duration> {
         if !self.state.suspects().any() {
             return None;
@@ -105,8 +105,8 @@
         self.state.admit(parsed.fingerprint())
     }
 
-    /// Takes in that an endpoint served a request: it does not end those that begin it. A
-    /// failure would not show that, since some endpoints fail whatever they are asked.
+    /// Records that an endpoint served a request, which shows that the request does not end
+    /// endpoints. A failed answer does not show that, since some endpoints fail every request.
     pub fn record_served(&self, parsed: &Parsed) {
         if self.state.suspects().any() {
             self.state.record_served(parsed.fingerprint());
@@ -115,12 +115,12 @@
 }
 
 impl State {
-    /// Takes in that an endpoint ended before it answered a request.
+    /// Records that an endpoint ended before it answered a request.
     pub(super) fn record_crash(&self, fingerprint: Fingerprint, crash: &Crash) -> Change {
         let news = self.suspects().record_crash(fingerprint, crash, self.clock().now());
         match news {
             Change::Quarantined => self.suspects().pending.set(fingerprint, true),
-            // Others may know more, and be out of reach.
+            // Other gateways may know more of it and be unreachable, so the store is read.
             Change::Updated => self.suspects().pending.request_read(),
             Change::Released | Change::None => {}
         }
@@ -130,7 +130,7 @@
         news
     }
 
-    /// Takes in that a request was served.
+    /// Records that a request was served.
     fn record_served(&self, fingerprint: Fingerprint) {
         let news = self.suspects().record_answer(fingerprint, self.clock().now());
         if news == Change::Released {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// For how long a request is held back, if it may not be sent now.
+    /// How long a request is still quarantined, if it may not be sent now.
     fn admit(&self, fingerprint: Fingerprint) -> Option<Duration> {
         match self.suspects().admit(fingerprint, self.clock().now()) {
             Admission::Pass => None,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Takes in which requests the store says are held back.
+    /// Applies the quarantined requests that were read from the store.
     pub fn apply_stored_quarantine(&self, requests: &[Fingerprint]) {
         let now = self.clock().now();
         let news = |request: &&Fingerprint| {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Takes in what another gateway knows of suspected requests.
+    /// Merges the updates on suspect requests of another gateway.
     pub fn merge_suspects(&self, told: &[Update]) {
         let merged = self.suspects().merge(told, self.clock().now());
         for fingerprint in &merged.quarantined {
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of versions of weights: which were named, and for how long.
+//! State on versions of weights: which were named, and for how long.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use super::state::State;
 
 impl State {
-    /// Takes in what the store says of named versions. What a process finds when
-    /// it first reads the store may have been named long before it started; what
-    /// the store did not say before was named just now, or at some time since the
-    /// store last answered: an old version that goes on too long breaks a promise.
+    /// Applies the named versions as read from the store. A version found by the first read may
+    /// have been named long before the process started. A version that is new in a later read
+    /// was named just now, or at some time since the store last answered. The age matters since
+    /// an old version may be used only for a limited time after a new one is named.
     pub fn apply_rollout(&self, fact: &Fact<Rollout>, freshness: Freshness) {
         let (now, rollout) = (self.clock().now(), &fact.value);
         let age = match freshness {
@@ -46,14 +46,14 @@
         Some(self.lock().rollout_revision).filter(|revision| *revision > Revision::default())
     }
 
-    /// When another gateway last told a newer such revision; zero if none did.
+    /// When another gateway last raised that revision; zero if none did.
     #[must_use]
     pub fn rollout_gossiped_at(&self) -> Duration {
         self.lock().rollout_gossiped_at
     }
 
-    /// Merges for how long versions have been named, as another gateway knows it by a
-    /// revision of the store: whatever was named until then is among them.
+    /// Merges the ages of versions from another gateway. They include all versions that were named
+    /// up to the given revision of the store.
     pub fn merge_versions(&self, ages: &Ages, revision: Revision) {
         self.merge_ages(ages, "gateway");
         let now = self.clock().now();
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Merges for how long versions have been named, as another process knows it.
+    /// Merges the ages of versions from another process.
     pub fn merge_ages(&self, ages: &Ages, from: &str) {
         let now = self.clock().now();
         self.change_versions(from, |inner| {
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Has versions learned; makes them known if any is news, or its age is.
+    /// Applies a change of versions, and publishes them if any version or age changed.
     fn change_versions(&self, from: &str, learn: impl FnOnce(&mut Inner) -> bool) {
         let mut inner = self.lock();
         if !learn(&mut inner) {
@@ -93,8 +93,8 @@
         self.lock().timeline.ages(self.clock().now())
     }
 
-    /// How much longer a model's version may begin requests at an endpoint whose link
-    /// is narrow, or is not; none for no end.
+    /// How much longer requests may begin with a model's version at an endpoint; `None` for no
+    /// limit. `narrow` tells whether its link is narrow, which leaves less time.
     #[must_use]
     pub fn version_time_left(
         &self,
--- a/src/cinderspoke/gateway/view.rs
+++ b/src/cinderspoke/gateway/view.rs
@@ -1,4 +1,4 @@
-//! What requests see of a gateway's knowledge: all that holds at one moment.
+//! An immutable snapshot of a gateway's state, as requests read it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,18 +19,18 @@
     pub target: Arc<Target>,
     /// Its entry.
     pub entry: Entry,
-    /// How near it is.
+    /// Its distance from this gateway.
     pub distance: Distance,
     /// The region of its availability zone; the empty name where that is unknown.
     pub region: Region,
-    /// Whether its availability zone is emptied.
+    /// Whether its availability zone is evacuated.
     pub is_evacuated: bool,
 }
 
-/// All that is known at a moment.
+/// A snapshot of the gateway's state.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Tells views apart: each has a higher one than those before.
+    /// Identifies the snapshot: each has a higher generation than those before it.
     pub generation: u64,
     /// The configuration, once one is known.
     pub catalog: Option<Arc<Catalog>>,
@@ -38,11 +38,12 @@
     pub members: Arc<BTreeMap<Service, Vec<Member>>>,
     /// The versions that models are to have.
     pub rollout: Rollout,
-    /// How many gateways there are, this one among them.
+    /// The number of gateways, this one included.
     pub gateways: usize,
-    /// Whether it is known which availability zones are emptied, where any may be.
+    /// Whether it is known which availability zones are evacuated; always true where the settings
+    /// do not allow evacuations.
     pub evacuations_known: bool,
-    /// The keys of all other gateways, alive or not, by which shares are ranked.
+    /// The keys of all other gateways, alive or not, for ranking shares.
     pub other_keys: Arc<[Key]>,
 }
 
@@ -53,7 +54,7 @@
         self.members.get(service).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// How a service's endpoints spend their time, if they are model engines.
+    /// The model engine's parameters of a service, if its endpoints are model engines.
     #[must_use]
     pub fn engine(&self, service: &Service) -> Option<&Engine> {
         self.catalog.as_ref()?.backend(service)?.engine.as_ref()
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -1,4 +1,4 @@
-//! Which availability zones receive nothing, and which endpoints are cold.
+//! State on evacuated availability zones and on cold endpoints.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use super::view::View;
 
 impl State {
-    /// Replaces the emptied zones, unless those that are known are newer.
+    /// Replaces the evacuated zones, unless the known ones are newer.
     pub fn apply_evacuations(&self, told: Fact<BTreeSet<Zone>>, from: &str) {
         self.change_evacuations(from, |table| table.replace(told));
     }
 
-    /// Applies changes of the emptied zones.
+    /// Applies changes of the evacuated zones.
     pub fn apply_evacuation_changes(&self, fact: Fact<Vec<Change>>, from: &str) {
         self.change_evacuations(from, |table| table.apply(fact.revision, fact.value));
     }
@@ -48,14 +48,14 @@
         self.options().regions.contains_key(zone.as_str())
     }
 
-    /// The revision of the emptied zones; none before they are known.
+    /// The revision of the evacuated zones; none before they are known.
     #[must_use]
     pub fn evacuations_revision(&self) -> Option<Revision> {
         self.lock().evacuation.known().map(|known| known.revision)
     }
 
-    /// The most requests that all gateways together may send to a cold endpoint of a service
-    /// within a second; none without a bound.
+    /// The limit of requests per second that all gateways together may send to a cold endpoint of a
+    /// service; none for no limit.
     #[must_use]
     pub fn cold_bound(&self, view: &View, service: &Service) -> Option<Bound> {
         let cold_options = self.options().cold?;
@@ -65,13 +65,13 @@
 }
 
 impl Inner {
-    /// What endpoints of a service bear after their start.
+    /// What endpoints of a service can handle while they are cold.
     #[must_use]
     pub fn cold(&self, service: &Service) -> Option<Cold> {
         self.configuration.value.as_ref()?.backend(service)?.cold
     }
 
-    /// Counts endpoints as cold whose zones were emptied before and are no longer.
+    /// Marks the endpoints as cold whose zones were evacuated before and no longer are.
     fn mark_reopened_cold(&self, before: &BTreeSet<Zone>, now: Duration) {
         let entries = &self.tracker.directory().entries;
         let reopened = entries
