--- a/crates/core/src/gateway/caller_timeout.rs
+++ b/crates/core/src/gateway/caller_timeout.rs
@@ -1,48 +1,48 @@
-//! How long callers of a route usually wait, and so how long one has waited before.
+//! Estimates how long a caller has already waited before an attempt.
 //!
-//! A caller that comes back says that it waits for what is left of its time. Most
-//! attempts are first ones, which mostly say the same; where they do not, nothing is
-//! known of how long anyone has waited.
+//! A caller that retries states the time that is left of its timeout. Most attempts are first
+//! ones, and most of these state the same timeout. If they do not, it is unknown how long a
+//! caller has waited.
 
 use std::time::Duration;
 
-/// The part of the usual time below which a caller has waited before: deadlines are
-/// told in whole milliseconds and differ a little from one to the next.
-const WAITED: f64 = 0.985;
+/// Fraction of the usual timeout below which an attempt counts as a retry. Timeouts are stated
+/// in whole milliseconds and differ slightly from one attempt to the next.
+const RETRY_BELOW: f64 = 0.985;
 
-/// How many more attempts have to have said the usual time than another one for it to
-/// be believed.
-const BELIEVED: u32 = 4;
+/// Lead in votes that the usual timeout needs before it is used.
+const MIN_VOTES: u32 = 4;
 
-/// The most that attempts count for the usual time, so that another one is taken over
-/// after as many attempts.
-const MOST: u32 = 64;
+/// Upper bound on the votes, so that a different timeout replaces the usual one after as many
+/// attempts.
+const MAX_VOTES: u32 = 64;
 
-/// The time that most attempts say, by a majority vote in one pass.
+/// Estimates the timeout that most attempts of a route state, by a majority vote in one pass
+/// (Boyer and Moore).
 #[derive(Debug, Clone, Copy, Default)]
-// Invariant: `votes` is at most `MOST`, and zero before the first attempt.
+// Invariant: `votes` is at most `MAX_VOTES`, and zero before the first attempt.
 pub struct Estimator {
-    time: Duration,
+    usual: Duration,
     votes: u32,
 }
 
 impl Estimator {
-    /// Takes in how long a caller says that it waits; gives how long it has waited
-    /// before this attempt, as far as is known.
-    pub fn observe(&mut self, says: Duration) -> Duration {
-        self.vote(says);
-        let before = self.time.saturating_sub(says);
-        let less = says < self.time.mul_f64(WAITED);
-        if self.votes >= BELIEVED && less { before } else { Duration::ZERO }
+    /// Records the timeout that a caller states for an attempt. Returns how long the caller has
+    /// waited before this attempt; zero if that is unknown.
+    pub fn observe(&mut self, timeout: Duration) -> Duration {
+        self.vote(timeout);
+        let waited = self.usual.saturating_sub(timeout);
+        let is_retry = timeout < self.usual.mul_f64(RETRY_BELOW);
+        if self.votes >= MIN_VOTES && is_retry { waited } else { Duration::ZERO }
     }
 
-    fn vote(&mut self, says: Duration) {
-        let least = self.time.mul_f64(WAITED);
-        let most = self.time.mul_f64(2.0 - WAITED);
-        if (least..=most).contains(&says) {
-            self.votes = (self.votes + 1).min(MOST);
+    fn vote(&mut self, timeout: Duration) {
+        let least = self.usual.mul_f64(RETRY_BELOW);
+        let most = self.usual.mul_f64(2.0 - RETRY_BELOW);
+        if (least..=most).contains(&timeout) {
+            self.votes = (self.votes + 1).min(MAX_VOTES);
         } else if self.votes == 0 {
-            (self.time, self.votes) = (says, 1);
+            (self.usual, self.votes) = (timeout, 1);
         } else {
             self.votes -= 1;
         }
--- a/crates/core/src/gateway/health.rs
+++ b/crates/core/src/gateway/health.rs
@@ -1,112 +1,119 @@
-//! Leaving out endpoints that fail, by what became of real requests.
+//! Outlier ejection: endpoints whose requests fail receive none for a while.
+//!
+//! [`Health`] judges one endpoint by the outcomes of real requests. An ejected endpoint is
+//! probed with a single request after its ejection, and is readmitted if that succeeds.
 
 use std::time::Duration;
 
-/// So many failures in a row leave an endpoint out.
-const STREAK: u32 = 2;
+/// Number of requests without a complete response that eject an endpoint, with no success in
+/// between.
+const MAX_SILENCES: u32 = 2;
 
-/// The share of failures above which an endpoint is left out.
-const RATE: f64 = 0.4;
+/// Smoothed failure rate above which an endpoint is ejected.
+const MAX_FAILURE_RATE: f64 = 0.4;
 
-/// How many requests the share has to rest on.
-const SAMPLES: u32 = 6;
+/// Number of requests that the failure rate must be based on.
+const MIN_SAMPLES: u32 = 6;
 
-/// The weight of the newest request in the share of failures.
-const NEWEST: f64 = 0.15;
+/// Weight of the newest request in the failure rate (exponential moving average).
+const NEWEST_WEIGHT: f64 = 0.15;
 
-/// How long an endpoint is left out at first.
-const FIRST: Duration = Duration::from_millis(800);
+/// Duration of the first ejection; each further one doubles.
+const FIRST_EJECTION: Duration = Duration::from_millis(800);
 
-/// How long an endpoint is left out at most.
-const LONGEST: Duration = Duration::from_secs(6);
+/// Upper bound on the duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(6);
 
-/// How a request at an endpoint ended, as far as it tells of the endpoint.
+/// What the outcome of a request indicates about its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// It answered as it should.
+    /// The endpoint responded as it should.
     Good,
-    /// It answered with a failure of its own.
+    /// The endpoint responded with an error of its own.
     Failure,
-    /// It could not be reached or broke off.
+    /// The connection failed or broke before the response was complete.
     Silence,
-    /// It said nothing for as long as a request could wait.
+    /// The endpoint sent nothing until the request timed out.
     Stall,
 }
 
 /// Whether an endpoint may be sent requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It may.
+    /// It may be sent requests.
     Healthy,
-    /// One request may find out.
+    /// It may be sent one request as a probe.
     ProbeDue,
-    /// It may not.
+    /// It may not be sent requests, or a probe is in progress.
     Ejected,
 }
 
-/// What is known of one endpoint's health.
+/// The health of one endpoint.
 #[derive(Debug, Default)]
 pub struct Health {
-    streak: u32,
-    rate: f64,
+    silences: u32,
+    failure_rate: f64,
     samples: u32,
-    // How often it was left out without being well in between.
-    trips: u32,
-    out_until: Option<Duration>,
-    trying: Option<Duration>,
+    // Number of ejections since the endpoint was last healthy for a while.
+    ejections: u32,
+    ejected_until: Option<Duration>,
+    probe_started: Option<Duration>,
 }
 
 impl Health {
-    /// Takes in how a request ended; true when the endpoint is left out by it.
-    pub fn record(&mut self, sign: Observation, now: Duration) -> bool {
-        let bad = if sign == Observation::Good { 0.0 } else { 1.0 };
-        self.rate += NEWEST * (bad - self.rate);
+    /// Records the outcome of a request; returns whether it ejects the endpoint.
+    pub fn record(&mut self, observation: Observation, now: Duration) -> bool {
+        let failed = if observation == Observation::Good { 0.0 } else { 1.0 };
+        self.failure_rate += NEWEST_WEIGHT * (failed - self.failure_rate);
         self.samples = self.samples.saturating_add(1);
-        if sign == Observation::Good {
-            if self.trying.is_some() || self.out_until.is_some() {
-                *self = Self { trips: self.trips, ..Self::default() };
+        if observation == Observation::Good {
+            if self.probe_started.is_some() || self.ejected_until.is_some() {
+                *self = Self { ejections: self.ejections, ..Self::default() };
             }
-            self.streak = 0;
-            if self.samples > 4 * SAMPLES {
-                self.trips = 0;
+            self.silences = 0;
+            if self.samples > 4 * MIN_SAMPLES {
+                self.ejections = 0;
             }
             return false;
         }
-        if sign == Observation::Silence {
-            self.streak += 1;
+        if observation == Observation::Silence {
+            self.silences += 1;
         }
-        let tried = self.trying.take().is_some();
-        let out = tried
-            || sign == Observation::Stall
-            || self.streak >= STREAK
-            || (self.samples >= SAMPLES && self.rate > RATE);
-        if out {
-            let wait = FIRST.saturating_mul(1 << self.trips.min(4)).min(LONGEST);
-            self.out_until = Some(now + wait);
-            self.trips += 1;
-            self.streak = 0;
+        let was_probe = self.probe_started.take().is_some();
+        let is_ejected = was_probe
+            || observation == Observation::Stall
+            || self.silences >= MAX_SILENCES
+            || (self.samples >= MIN_SAMPLES && self.failure_rate > MAX_FAILURE_RATE);
+        if is_ejected {
+            let duration =
+                FIRST_EJECTION.saturating_mul(1 << self.ejections.min(4)).min(MAX_EJECTION);
+            self.ejected_until = Some(now + duration);
+            self.ejections += 1;
+            self.silences = 0;
             self.samples = 0;
-            self.rate = 0.0;
+            self.failure_rate = 0.0;
         }
-        out
+        is_ejected
     }
 
-    /// Whether it may be sent requests.
+    /// Whether the endpoint may be sent requests.
     #[must_use]
     pub fn state(&self, now: Duration) -> State {
-        match self.out_until {
+        match self.ejected_until {
             Some(until) if now < until => State::Ejected,
-            // A trial that brought no word is given up like a new one.
-            Some(_) if self.trying.is_some_and(|since| now < since + FIRST) => State::Ejected,
+            // A probe without an outcome expires, so that another one may be sent.
+            Some(_) if self.probe_started.is_some_and(|since| now < since + FIRST_EJECTION) => {
+                State::Ejected
+            }
             Some(_) => State::ProbeDue,
             None => State::Healthy,
         }
     }
 
-    /// Takes in that a request was sent to find out.
+    /// Records that a request was sent; it counts as the probe if one is due.
     pub fn start_probe(&mut self, now: Duration) {
         if self.state(now) == State::ProbeDue {
-            self.trying = Some(now);
+            self.probe_started = Some(now);
         }
     }
 }
--- a/crates/core/src/gateway/link.rs
+++ b/crates/core/src/gateway/link.rs
@@ -1,13 +1,13 @@
-//! Whether an instance's link carries what it should, as chunks of weights show it.
+//! Detects congestion of an instance's link by the response times of chunks of weights.
 
 use std::time::Duration;
 
-/// How long a slow chunk tells of a narrow link: harm that lasts shows again sooner,
-/// as long as chunks come.
-const REMEMBERED: Duration = Duration::from_secs(5);
+/// How long a link counts as congested after a slow chunk. Congestion that lasts shows in
+/// another chunk within this time, as long as chunks are transferred.
+const CONGESTION_HOLD: Duration = Duration::from_secs(5);
 
-/// A chunk that takes longer than this, its wait at the peer among it, tells of a
-/// link that carries less than it should.
+/// Response time above which a chunk indicates a congested link. It includes the time that the
+/// request waits at the peer.
 pub const SLOW_CHUNK: Duration = Duration::from_millis(600);
 
 /// What a single chunk request indicates about the link.
@@ -22,10 +22,10 @@
     Inconclusive,
 }
 
-/// What is known of an instance's link.
+/// The state of an instance's link.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Link {
-    slow: Option<Duration>,
+    last_slow: Option<Duration>,
 }
 
 impl Link {
@@ -37,13 +37,13 @@
             Observation::Inconclusive => false,
         };
         if is_slow {
-            self.slow = Some(now);
+            self.last_slow = Some(now);
         }
     }
 
-    /// Whether what goes over it may be held up for seconds.
+    /// Whether traffic over the link may be delayed by seconds.
     #[must_use]
     pub fn is_congested(&self, now: Duration) -> bool {
-        self.slow.is_some_and(|slow| now < slow + REMEMBERED)
+        self.last_slow.is_some_and(|at| now < at + CONGESTION_HOLD)
     }
 }
--- a/crates/core/src/gateway/pick.rs
+++ b/crates/core/src/gateway/pick.rs
@@ -1,140 +1,148 @@
-//! Choosing an endpoint for a request, or refusing it while nothing has run.
+//! Chooses the endpoint for a request, or refuses the request before anything is executed.
+//!
+//! [`pick`] compares the forecasts of the [`Candidate`]s with the [`Requirements`] of the request.
+//! Requests that could not be answered in time are refused with a retry delay.
 
 use std::time::Duration;
 
 use super::load::Forecast;
 use crate::swarm::Distance;
 
-/// What a farther endpoint has to be faster by: its way and the price of the bytes.
+/// By how much an endpoint in another availability zone of the region must be faster to be chosen:
+/// the network latency and the price of the traffic.
 const REGION_PENALTY: Duration = Duration::from_millis(8);
 
-/// The same for another region.
+/// The same for an endpoint in another region.
 const FAR_PENALTY: Duration = Duration::from_millis(16);
 
 /// Fraction of the remaining time within which the first token must be expected. The rest
-/// absorbs estimation errors: a request that is answered late takes the place of one that would
-/// have been in time.
+/// absorbs estimation errors: a request that is answered late uses capacity with which another one
+/// would have been answered in time.
 const TOLERANCE: f64 = 0.9;
 
 /// Upper bound on the estimated number of requests that other gateways have sent to one
 /// endpoint. Exceeds the capacity of any endpoint and keeps the duration arithmetic from
 /// overflowing.
-const MOST_RIVALS: f64 = 100.0;
+const MAX_COMPETING: f64 = 100.0;
 
 /// Number of candidates sampled per request (power of d choices), so that gateways with the same
 /// information do not all choose the same endpoint.
-const DRAWN: usize = 3;
+const SAMPLE_SIZE: usize = 3;
 
 /// Fraction of the limit within which an endpoint in the gateway's own availability zone is
 /// chosen without considering others. Traffic between regions is billed, and it shares its link
 /// with transfers of weights and configurations.
-const NEAR: f64 = 0.5;
+const OWN_ZONE_FRACTION: f64 = 0.5;
 
-/// How long callers wait for a first token at least before they leave.
-const PATIENCE: Duration = Duration::from_millis(1800);
+/// Lower bound on the time to a first token after which callers disconnect.
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Lower bound of the limit as a fraction of the aim, for requests that are already late or
+/// Lower bound on the limit as a fraction of the target, for requests that are already late or
 /// nearly so. Kept small so that under overload they do not displace requests that can still be
 /// in time.
-const SPARE: f64 = 0.35;
+const LATE_FRACTION: f64 = 0.35;
 
 /// Range of retry delays when no endpoint is available.
-const NONE_THERE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_millis(450));
+const NO_ENDPOINT_DELAY: (Duration, Duration) =
+    (Duration::from_millis(300), Duration::from_millis(450));
 
 /// Range of retry delays when no endpoint has suitable weights. Loading them takes seconds.
-const WEIGHTLESS: (Duration, Duration) = (Duration::from_millis(1200), Duration::from_millis(2000));
+const NO_WEIGHTS_DELAY: (Duration, Duration) =
+    (Duration::from_millis(1200), Duration::from_millis(2000));
 
-/// Interval over which retries are spread after an endpoint's rest, so that they do not overload
-/// it again.
-const RESTED: Duration = Duration::from_millis(300);
+/// Interval over which retries are spread after an endpoint's back-off, so that they do not
+/// overload it again.
+const BACKOFF_SPREAD: Duration = Duration::from_millis(300);
 
-/// Range of retry delays when every endpoint would begin too late. Callers wait for at most a
-/// third of their remaining time.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(400), Duration::from_millis(2000));
+/// Range of retry delays when every endpoint would begin to respond too late. Callers wait for at
+/// most a third of their remaining time.
+const OVERLOAD_DELAY: (Duration, Duration) =
+    (Duration::from_millis(400), Duration::from_millis(2000));
 
-/// An endpoint that could take a request.
+/// An endpoint that may be sent the request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// The caller's number for it.
+    /// Number of the endpoint, assigned by the caller of this module.
     pub number: usize,
-    /// How near it is.
+    /// Distance from the gateway.
     pub distance: Distance,
-    /// When it would begin to answer, as far as is known.
+    /// Forecast of its time to first token.
     pub forecast: Forecast,
-    /// How old that knowledge is.
+    /// Age of the report that the forecast is based on.
     pub age: Duration,
-    /// By how much each request that came since then would have this one wait longer.
+    /// By how much each request that has arrived there since the report delays this one.
     pub service_time: Duration,
-    /// Whether a request is to find out if it is well again.
+    /// Whether the request would be the probe of an ejected endpoint.
     pub is_probe: bool,
-    /// What is to be had from its agent.
+    /// What its agent can contribute.
     pub agent: Agent,
 }
 
 impl Candidate {
-    /// The choice of this candidate.
+    /// The choice to send to this candidate.
     pub(super) fn chosen(&self) -> Choice {
         Choice::Send { number: self.number, ttft: self.ttft() }
     }
 
-    /// The time until it would begin to answer.
+    /// The forecast time to first token of the request.
     #[must_use]
     pub fn ttft(&self) -> Duration {
         self.forecast.ttft()
     }
 }
 
-/// What is to be had from an endpoint's agent.
+/// What the agent of an endpoint can contribute to a choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Agent {
-    /// There is none that could be asked.
+    /// Nothing: no agent can be queried.
     None,
-    /// It can be asked what its endpoint holds.
+    /// It can be queried for the present load of its endpoint.
     Queryable,
-    /// It has to be asked first: it does not report here, and nothing else tells whether its
-    /// endpoint has room.
+    /// It must be queried before a request is sent: it does not report to this gateway, so the
+    /// load of its endpoint is unknown.
     NotReporting,
-    /// It has just answered: what is known of its endpoint is of this moment.
+    /// It has just answered a query, so the forecast is up to date.
     Answered,
 }
 
-/// What is asked for.
+/// What a request requires of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Requirements {
-    /// The time within which an answer has to begin for its full worth, counted
-    /// from the caller's first attempt.
+    /// Target of the time to first token, counted from the caller's first attempt. An answer
+    /// that begins later is worth less.
     pub ttft_target: Duration,
-    /// What is left of that time.
+    /// The part of that time that is left.
     pub target_left: Duration,
-    /// The time that is left until the caller needs no answer any more.
+    /// The time that is left until the caller's deadline.
     pub time_left: Duration,
-    /// Whether it has been sent before: such a request is not refused for being late.
+    /// Whether the request has been sent before. Such a request is not refused for being late.
     pub sent_before: bool,
-    /// Whether there are endpoints that only lack the weights to answer with.
+    /// Whether there are endpoints that only lack suitable weights.
     pub weights_missing: bool,
-    /// After how long the first of the endpoints that rest takes requests again, if any do.
+    /// The time until the first of the endpoints in back-off accepts requests again; `None` if
+    /// none is in back-off.
     pub backoff_left: Option<Duration>,
-    /// How many requests a second other gateways get for the same endpoints.
+    /// Requests per second that other gateways receive for the same endpoints.
     pub competing_rate: f64,
-    /// A number that spreads requests among endpoints that are alike.
+    /// Seed of the request's pseudo-random choices, which spread requests over equal endpoints.
     pub seed: u64,
 }
 
-/// What becomes of a request.
+/// The decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Choice {
-    /// It is sent to this endpoint.
+    /// Send it to this endpoint.
     Send {
         /// The endpoint's number.
         number: usize,
-        /// The time until it is expected to begin to answer.
+        /// The forecast time to first token.
         ttft: Duration,
     },
-    /// It is refused; the caller is to come back after this time.
+    /// Refuse it.
     Refuse {
-        /// When there should be room.
+        /// The delay after which the caller should retry.
         retry_after: Duration,
-        /// What the best endpoint would have needed; none when there is none.
+        /// The best candidate, although not good enough; `None` if there is no candidate.
         best: Option<BestCandidate>,
     },
 }
@@ -142,95 +150,111 @@
 /// Why the best endpoint for a request is not good enough.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BestCandidate {
-    /// When it would begin to answer.
+    /// The forecast of its time to first token.
     pub forecast: Forecast,
-    /// The longest wait for others with which the request would have been sent there.
+    /// The longest wait caused by other requests with which the request would have been sent
+    /// there.
     pub max_wait: Duration,
 }
 
-/// Chooses an endpoint for a request.
+/// Chooses an endpoint for a request, or refuses it.
 #[must_use]
-pub fn pick(wish: &Requirements, candidates: &[Candidate]) -> Choice {
-    let limit = limit(wish);
-    let candidates = with_rivals(wish, limit, candidates);
+pub fn pick(requirements: &Requirements, candidates: &[Candidate]) -> Choice {
+    let limit = limit(requirements);
+    let candidates = with_competing_requests(requirements, limit, candidates);
     if candidates.is_empty() {
-        return Choice::Refuse { retry_after: spread_out(none_there(wish), wish.seed), best: None };
+        return Choice::Refuse {
+            retry_after: within(unavailable_delay(requirements), requirements.seed),
+            best: None,
+        };
     }
-    let sampled = sampled(wish, limit, limit, &candidates);
-    // A refusal needs more proof than a choice.
-    match sampled.or_else(|| cheapest(wish, limit, &candidates)) {
+    let sampled = sampled(requirements, limit, limit, &candidates);
+    // A refusal requires more evidence than a choice, so it considers all candidates.
+    match sampled.or_else(|| cheapest(requirements, limit, &candidates)) {
         Some(found) => found.chosen(),
-        None => refusal(wish, limit, &candidates),
+        None => refusal(requirements, limit, &candidates),
     }
 }
 
-/// An endpoint with so much room that its report suffices, among those that are sampled for a
-/// request: it would begin within a part of the latest time.
-pub(super) fn easy(wish: &Requirements, part: f64, candidates: &[Candidate]) -> Option<Candidate> {
-    let limit = limit(wish);
-    sampled(wish, limit, limit.mul_f64(part), &with_rivals(wish, limit, candidates))
+/// The best of the sampled candidates whose reports suffice: it would begin to respond within a
+/// fraction of the limit.
+pub(super) fn best_by_report(
+    requirements: &Requirements,
+    fraction: f64,
+    candidates: &[Candidate],
+) -> Option<Candidate> {
+    let limit = limit(requirements);
+    sampled(
+        requirements,
+        limit,
+        limit.mul_f64(fraction),
+        &with_competing_requests(requirements, limit, candidates),
+    )
 }
 
-/// The best of some near candidates where one has room, else of some of all that would begin
-/// by `latest`.
+/// The best of a sample in the gateway's own availability zone if one there has capacity, or else
+/// the best of a sample of all candidates that would begin to respond by `latest`.
 fn sampled(
-    wish: &Requirements,
+    requirements: &Requirements,
     limit: Duration,
     latest: Duration,
     candidates: &[Candidate],
 ) -> Option<Candidate> {
-    let near = cheapest(wish, limit.mul_f64(NEAR), &draw_near(wish, candidates));
-    near.or_else(|| cheapest(wish, latest, &draw(wish.seed, candidates, DRAWN)))
+    let own_zone = sample_own_zone(requirements, candidates);
+    let best = cheapest(requirements, limit.mul_f64(OWN_ZONE_FRACTION), &own_zone);
+    best.or_else(|| {
+        cheapest(requirements, latest, &sample(requirements.seed, candidates, SAMPLE_SIZE))
+    })
 }
 
-/// Some of the candidates in the gateway's own availability zone.
-fn draw_near(wish: &Requirements, candidates: &[Candidate]) -> Vec<Candidate> {
-    let near = candidates.iter().filter(|candidate| candidate.distance == Distance::Zone);
-    draw(wish.seed, &near.copied().collect::<Vec<_>>(), DRAWN)
+/// A sample of the candidates in the gateway's own availability zone.
+fn sample_own_zone(requirements: &Requirements, candidates: &[Candidate]) -> Vec<Candidate> {
+    let own_zone = candidates.iter().filter(|candidate| candidate.distance == Distance::Zone);
+    sample(requirements.seed, &own_zone.copied().collect::<Vec<_>>(), SAMPLE_SIZE)
 }
 
-/// The candidate that costs a request least, of those that are good enough.
+/// The good candidate with the lowest cost.
 pub(super) fn cheapest<'a>(
-    wish: &Requirements,
+    requirements: &Requirements,
     limit: Duration,
     candidates: impl IntoIterator<Item = &'a Candidate>,
 ) -> Option<Candidate> {
-    let good = candidates.into_iter().filter(|candidate| is_good(wish, limit, candidate));
-    good.copied().min_by_key(|candidate| (cost(wish, candidate), candidate.number))
+    let good = candidates.into_iter().filter(|candidate| is_good(requirements, limit, candidate));
+    good.copied().min_by_key(|candidate| (cost(requirements, candidate), candidate.number))
 }
 
-/// Whether a candidate would begin soon enough.
+/// Whether a candidate would begin to respond soon enough.
 ///
-/// Requests of all sizes are held to the wait that others cause: with a limit on the time to
-/// their own first token, large ones would be refused first, and each time they come back. The
-/// time that a request takes by itself counts only against its caller's deadline.
-fn is_good(wish: &Requirements, limit: Duration, candidate: &Candidate) -> bool {
-    candidate.forecast.usual_ttft() <= limit && candidate.ttft() <= wish.time_left
+/// The limit applies to the wait that other requests cause, whatever the size of this one. If it
+/// applied to the request's own time to first token, large requests would be refused first, and
+/// again at each retry. The request's own prefill time counts only against its caller's deadline.
+fn is_good(requirements: &Requirements, limit: Duration, candidate: &Candidate) -> bool {
+    candidate.forecast.usual_ttft() <= limit && candidate.ttft() <= requirements.time_left
 }
 
-/// What an endpoint costs a request: its time, its way, and some spread.
-fn cost(wish: &Requirements, candidate: &Candidate) -> Duration {
-    candidate.ttft() + detour(wish, candidate)
+/// The cost of a candidate: its time to first token, its distance, and some jitter.
+fn cost(requirements: &Requirements, candidate: &Candidate) -> Duration {
+    candidate.ttft() + overhead(requirements, candidate)
 }
 
-/// The same for a request with a usual prompt.
-pub(super) fn cost_of_usual(wish: &Requirements, candidate: &Candidate) -> Duration {
-    candidate.forecast.usual_ttft() + detour(wish, candidate)
+/// The cost of a candidate for a request with a prompt of the usual size.
+pub(super) fn cost_of_usual(requirements: &Requirements, candidate: &Candidate) -> Duration {
+    candidate.forecast.usual_ttft() + overhead(requirements, candidate)
 }
 
-/// What an endpoint costs a request besides its time.
-fn detour(wish: &Requirements, candidate: &Candidate) -> Duration {
+/// The cost of a candidate besides its time to first token.
+fn overhead(requirements: &Requirements, candidate: &Candidate) -> Duration {
     let penalty = match candidate.distance {
         Distance::Zone => Duration::ZERO,
         Distance::Region => REGION_PENALTY,
         Distance::Far => FAR_PENALTY,
     };
-    penalty + jitter(wish.seed, candidate.number)
+    penalty + jitter(requirements.seed, candidate.number)
 }
 
-/// The refusal of a request that the best of the candidates would begin too late.
+/// The refusal of a request to which every candidate would begin to respond too late.
 pub(super) fn refusal<'a>(
-    wish: &Requirements,
+    requirements: &Requirements,
     limit: Duration,
     candidates: impl IntoIterator<Item = &'a Candidate>,
 ) -> Choice {
@@ -240,65 +264,73 @@
         forecast,
         max_wait: limit.saturating_sub(forecast.usual_prefill),
     });
-    Choice::Refuse { retry_after: spread_out(COME_BACK, wish.seed), best }
+    Choice::Refuse { retry_after: within(OVERLOAD_DELAY, requirements.seed), best }
 }
 
-/// When a caller is to come back for whose request there is no endpoint.
-fn none_there(wish: &Requirements) -> (Duration, Duration) {
-    let Some(rest) = wish.backoff_left else {
-        return if wish.weights_missing { WEIGHTLESS } else { NONE_THERE };
+/// Range of retry delays for a request without candidates.
+fn unavailable_delay(requirements: &Requirements) -> (Duration, Duration) {
+    let Some(backoff_left) = requirements.backoff_left else {
+        return if requirements.weights_missing { NO_WEIGHTS_DELAY } else { NO_ENDPOINT_DELAY };
     };
-    // Those that rest for this gateway may take requests of another one, at which the
-    // caller may well come back: it waits no longer than where all are busy.
-    let least = rest.clamp(NONE_THERE.0, COME_BACK.1);
-    (least, least + RESTED)
+    // Endpoints in back-off at this gateway may accept requests of another one, which the caller
+    // may well choose for its retry. So the delay is no longer than under overload.
+    let least = backoff_left.clamp(NO_ENDPOINT_DELAY.0, OVERLOAD_DELAY.1);
+    (least, least + BACKOFF_SPREAD)
 }
 
-/// The candidates as they are by now: other gateways have been told of the same room,
-/// and have sent there what came to them since.
+/// Adds to the forecasts the requests that other gateways have presumably sent since the reports:
+/// they have received the same reports.
 ///
-/// Without this, every gateway would send requests to the same free place under overload, and
-/// all of them would be late.
-fn with_rivals(wish: &Requirements, limit: Duration, candidates: &[Candidate]) -> Vec<Candidate> {
-    let rooms = candidates.iter().filter(|it| is_good(wish, limit, it)).count().max(1);
-    let sent = |age: Duration| wish.competing_rate * age.as_secs_f64() / rooms as f64;
-    let by_now = |candidate: &Candidate| {
-        let more = candidate.service_time.mul_f64(sent(candidate.age).min(MOST_RIVALS));
+/// Otherwise every gateway would send requests to the same free slot under overload, and all of
+/// them would be late.
+fn with_competing_requests(
+    requirements: &Requirements,
+    limit: Duration,
+    candidates: &[Candidate],
+) -> Vec<Candidate> {
+    let good = candidates.iter().filter(|it| is_good(requirements, limit, it)).count().max(1);
+    let sent = |age: Duration| requirements.competing_rate * age.as_secs_f64() / good as f64;
+    let updated = |candidate: &Candidate| {
+        let more = candidate.service_time.mul_f64(sent(candidate.age).min(MAX_COMPETING));
         let forecast = Forecast { wait: candidate.forecast.wait + more, ..candidate.forecast };
         Candidate { forecast, ..*candidate }
     };
-    candidates.iter().map(by_now).collect()
+    candidates.iter().map(updated).collect()
 }
 
-/// The latest time to a first token with which a request is sent whose prompt is usual.
-pub(super) fn limit(wish: &Requirements) -> Duration {
-    let limit = if wish.sent_before {
-        wish.target_left.max(PATIENCE)
+/// The upper bound on the time to first token with which a request with a prompt of the usual size
+/// is sent.
+pub(super) fn limit(requirements: &Requirements) -> Duration {
+    let limit = if requirements.sent_before {
+        requirements.target_left.max(MIN_CALLER_TIMEOUT)
     } else {
-        wish.target_left.mul_f64(TOLERANCE).max(wish.ttft_target.mul_f64(SPARE))
+        requirements
+            .target_left
+            .mul_f64(TOLERANCE)
+            .max(requirements.ttft_target.mul_f64(LATE_FRACTION))
     };
-    limit.min(wish.time_left)
+    limit.min(requirements.time_left)
 }
 
-/// So many of the candidates, drawn for this request: the first of its own ranking.
-pub(super) fn draw(spread: u64, candidates: &[Candidate], count: usize) -> Vec<Candidate> {
+/// A pseudo-random sample of `count` candidates: those that rank first for the seed.
+pub(super) fn sample(seed: u64, candidates: &[Candidate], count: usize) -> Vec<Candidate> {
     let rank = |candidate: &Candidate| {
-        crate::rendezvous::Key::of_number(spread ^ (candidate.number as u64) << 24).as_u64()
+        crate::rendezvous::Key::of_number(seed ^ (candidate.number as u64) << 24).as_u64()
     };
-    let mut drawn = candidates.to_vec();
-    drawn.sort_by_cached_key(rank);
-    drawn.truncate(count);
-    drawn
+    let mut sampled = candidates.to_vec();
+    sampled.sort_by_cached_key(rank);
+    sampled.truncate(count);
+    sampled
 }
 
-/// Up to 6 ms, so that gateways that know the same do not all choose the same endpoint.
-fn jitter(spread: u64, number: usize) -> Duration {
-    let mixed = crate::rendezvous::Key::of_number(spread ^ (number as u64) << 32).as_u64();
+/// Up to 6 ms, so that gateways with the same information do not all choose the same endpoint.
+fn jitter(seed: u64, number: usize) -> Duration {
+    let mixed = crate::rendezvous::Key::of_number(seed ^ (number as u64) << 32).as_u64();
     Duration::from_micros(mixed % 6000)
 }
 
-/// A time within a range that differs from caller to caller.
-fn spread_out((least, most): (Duration, Duration), spread: u64) -> Duration {
-    let part = (spread % 1024) as f64 / 1024.0;
+/// A time within a range that depends on the seed, so that callers do not retry all at once.
+fn within((least, most): (Duration, Duration), seed: u64) -> Duration {
+    let part = (seed % 1024) as f64 / 1024.0;
     least + most.saturating_sub(least).mul_f64(part)
 }
--- a/crates/core/src/gateway/reservation.rs
+++ b/crates/core/src/gateway/reservation.rs
@@ -1,205 +1,211 @@
-//! Places at endpoints: asked for by gateways before they send, kept by agents for a moment.
+//! Reservations at endpoints: gateways query agents for capacity before they send, and agents
+//! reserve it for a short time.
 //!
-//! Reports are some hundred milliseconds old. While more is asked than can be served, all
-//! gateways that were told of the same room send there, and what they send comes late. So
-//! under load a gateway asks the agents of some endpoints what these hold now. An agent that
-//! is asked counts a place as taken for the gateway, until it says what it has decided:
-//! whoever asks next knows of it.
+//! Reports are some hundred milliseconds old. If demand exceeds capacity, all gateways that have
+//! received the same report send to the same endpoint, and their requests are answered late. So
+//! under load a gateway queries the agents of some endpoints for their present load. An agent
+//! counts each query as a reservation until the gateway says that it has decided, so that the
+//! next query takes it into account.
 //!
-//! - [`Table`] is what an agent keeps: a place is handed out, and then used, given back or
-//!   lapsed.
-//! - [`Selection`] is one request's way to a place: sent by reports, asked for, refused.
-//! - [`Pending`] is what a gateway has asked of an endpoint and not decided on.
+//! - [`Table`] holds an agent's reservations. A reservation is used, released, or expires.
+//! - [`Selection`] selects the endpoint for one request: by reports, by answers to queries, or
+//!   none.
+//! - [`Pending`] holds a gateway's queries at one endpoint that it has not decided on.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::pick::{
-    Agent, Candidate, Choice, Requirements, cheapest, cost_of_usual, draw, easy, limit, pick,
-    refusal,
+    Agent, Candidate, Choice, Requirements, best_by_report, cheapest, cost_of_usual, limit, pick,
+    refusal, sample,
 };
 use super::tally::Outstanding;
 
-/// How long a place is kept for a gateway that says no more: the way there and back over a
-/// slow link, and what the gateway needs to decide and to tell.
-const KEPT: Duration = Duration::from_millis(60);
+/// How long a reservation lasts without a decision of its gateway: a round trip over a slow link
+/// and the time that the gateway needs to decide and to send its decision.
+const RESERVATION_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// The most places that are kept at one endpoint: far more than any has room for.
-const MOST_KEPT: usize = 256;
+/// Upper bound on the reservations at one endpoint, far above the capacity of any endpoint.
+const MAX_RESERVATIONS: usize = 256;
 
-/// How many endpoints are asked at a time, and out of how many drawn ones: the best of a few,
-/// so that gateways that know the same ask different ones.
-const ASKED: usize = 3;
-const DRAWN: usize = 6;
+/// Number of endpoints that are queried at a time: the best of the sampled ones, so that gateways
+/// with the same information query different endpoints.
+const QUERIED: usize = 3;
+/// Number of endpoints that are sampled for a round of queries.
+const SAMPLED: usize = 6;
 
-/// How often endpoints are asked for one request: a refusal needs more proof than a choice,
-/// and each time takes a part of what is left of the aim.
-const ROUNDS: usize = 2;
+/// Number of rounds of queries for one request. A refusal requires more evidence than a choice,
+/// and each round uses up a part of the time that is left to the target.
+const MAX_ROUNDS: usize = 2;
 
-/// The part of the latest time to a first token up to which an endpoint is believed by its
-/// report: others who are told of the same room take it from nobody there.
-const EASY: f64 = 0.5;
+/// Fraction of the limit up to which an endpoint is chosen by its report alone: it has so much
+/// capacity that other gateways with the same report do not fill it up.
+const REPORT_SUFFICES: f64 = 0.5;
 
-/// How long an answer is taken to hold: two times of asking, and what comes late.
-pub(super) const ANSWER: Duration = Duration::from_millis(50);
+/// How long an answer to a query is valid: the timeouts of two queries, and late answers.
+pub(super) const ANSWER_VALIDITY: Duration = Duration::from_millis(50);
 
-/// A place at an endpoint that is kept for a gateway.
+/// A reservation at an endpoint for one gateway.
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct Reservation {
     gateway: SocketAddr,
-    // When it was asked for, by the gateway's own time.
-    asked: Duration,
+    // When the gateway sent the query, by the gateway's clock.
+    queried: Duration,
     // The prompt tokens of the request that it is for.
     prompt: u32,
-    // When it lapses, by our own time.
+    // When it expires, by the agent's clock.
     until: Duration,
 }
 
-/// The places at an endpoint that its agent keeps.
-// Invariant: at most `MOST_KEPT` places.
+/// The reservations at an endpoint, kept by its agent.
+// Invariant: at most `MAX_RESERVATIONS` reservations.
 #[derive(Debug, Default)]
 pub struct Table {
-    places: Vec<Place>,
+    reservations: Vec<Reservation>,
 }
 
 impl Table {
-    /// Keeps a place for a request of a gateway, asked for at the gateway's own time.
-    pub fn reserve(&mut self, gateway: SocketAddr, asked: Duration, prompt: u32, now: Duration) {
-        self.places.retain(|place| place.until > now);
-        if self.places.len() < MOST_KEPT {
-            self.places.push(Place { gateway, asked, prompt, until: now + KEPT });
+    /// Adds a reservation for a query that a gateway sent at `queried` by its own clock. Does
+    /// nothing if the table is full.
+    pub fn reserve(&mut self, gateway: SocketAddr, queried: Duration, prompt: u32, now: Duration) {
+        self.reservations.retain(|reservation| reservation.until > now);
+        if self.reservations.len() < MAX_RESERVATIONS {
+            let until = now + RESERVATION_TIMEOUT;
+            self.reservations.push(Reservation { gateway, queried, prompt, until });
         }
     }
 
-    /// Takes in that a gateway has decided on all that it asked for before a time of its own:
-    /// what it uses is among its outstanding requests from now on.
+    /// Releases the reservations of a gateway for queries that it sent before a time by its own
+    /// clock. Those that it has used are among its outstanding requests from now on.
     pub fn release_before(&mut self, gateway: SocketAddr, before: Duration) {
-        self.places.retain(|place| place.gateway != gateway || place.asked >= before);
+        self.reservations.retain(|it| it.gateway != gateway || it.queried >= before);
     }
 
-    /// What is kept for other gateways than one, as if it had been sent.
+    /// The reservations of all gateways but one, counted as outstanding requests.
     #[must_use]
     pub fn others(&self, gateway: SocketAddr, now: Duration) -> Outstanding {
-        let kept = self.places.iter().filter(|place| place.gateway != gateway && place.until > now);
-        kept.fold(Outstanding::default(), |sum, place| {
-            sum.plus(Outstanding { requests: 1, waiting: 1, unread: place.prompt })
+        let others = self.reservations.iter().filter(|it| it.gateway != gateway && it.until > now);
+        others.fold(Outstanding::default(), |sum, reservation| {
+            sum.plus(Outstanding { requests: 1, waiting: 1, unread: reservation.prompt })
         })
     }
 }
 
-/// What a gateway has asked of an endpoint's agent and not decided on yet: when, by number.
+/// The queries of a gateway at one endpoint that it has not decided on: the time of each, by
+/// number.
 #[derive(Debug, Default)]
 pub struct Pending(BTreeMap<u64, Duration>);
 
 impl Pending {
-    /// Takes in that a place was asked for.
+    /// Records that a query was sent.
     pub fn record_query(&mut self, number: u64, now: Duration) {
         self.0.insert(number, now);
     }
 
-    /// Takes in that the gateway has used the place, or does without it.
+    /// Records that the gateway has used or released the reservation of a query.
     pub fn resolve(&mut self, number: u64) {
         self.0.remove(&number);
     }
 
-    /// Everything that was asked for before this time has been decided on, or has lapsed.
+    /// The time before which all queries are decided on or their reservations have expired.
     pub fn resolved_before(&mut self, now: Duration) -> Duration {
-        self.0.retain(|_, asked| *asked + KEPT > now);
+        self.0.retain(|_, queried| *queried + RESERVATION_TIMEOUT > now);
         self.0.values().copied().min().unwrap_or(now)
     }
 }
 
-/// What is to be done next for a request.
+/// The next step of a selection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// The agents of these endpoints are asked.
+    /// Query the agents of these endpoints.
     Query(Vec<usize>),
-    /// It is sent to an endpoint, or refused.
+    /// Send the request to an endpoint, or refuse it.
     Done(Choice),
 }
 
-/// One request's search for a place.
+/// The selection of an endpoint for one request.
 #[derive(Debug, Clone, Default)]
-// Invariant: `rounds` is at most `ROUNDS`, and `asked` names no endpoint twice.
+// Invariant: `rounds` is at most `MAX_ROUNDS`, and `queried` names no endpoint twice.
 pub struct Selection {
     rounds: usize,
-    asked: Vec<usize>,
+    queried: Vec<usize>,
 }
 
 impl Selection {
-    /// How many endpoints were asked.
+    /// Number of endpoints that were queried.
     #[must_use]
     pub fn queried(&self) -> usize {
-        self.asked.len()
+        self.queried.len()
     }
 
-    /// What is next, by what is known of the endpoints now; those that have answered are
-    /// known by their answers.
-    pub fn next(&mut self, wish: &Requirements, candidates: &[Candidate]) -> Step {
-        let heard = heard(candidates);
+    /// The next step, given the present state of the candidates. The forecasts of endpoints
+    /// whose agents have answered are based on the answers.
+    pub fn next(&mut self, requirements: &Requirements, candidates: &[Candidate]) -> Step {
+        let known = with_known_load(candidates);
         let no_agent = candidates.iter().all(|candidate| candidate.agent == Agent::None);
-        if no_agent || (wish.sent_before && !heard.is_empty()) {
-            return Step::Done(pick(wish, &heard));
+        if no_agent || (requirements.sent_before && !known.is_empty()) {
+            return Step::Done(pick(requirements, &known));
         }
-        let limit = limit(wish);
-        if let Some(found) = self.found(wish, limit, candidates) {
+        let limit = limit(requirements);
+        if let Some(found) = self.find(requirements, limit, candidates) {
             return Step::Done(found);
         }
-        let next = self.next_asked(wish, candidates);
-        if self.rounds == ROUNDS || next.is_empty() {
-            return Step::Done(self.give_up(wish, candidates));
+        let next = self.next_queried(requirements, candidates);
+        if self.rounds == MAX_ROUNDS || next.is_empty() {
+            return Step::Done(self.conclude(requirements, candidates));
         }
         self.rounds += 1;
-        self.asked.extend(&next);
+        self.queried.extend(&next);
         Step::Query(next)
     }
 
-    /// The endpoint that has room, at first by reports and then by answers.
-    fn found(
+    /// The endpoint that has capacity, by reports in the first round and by answers afterwards.
+    fn find(
         &self,
-        wish: &Requirements,
+        requirements: &Requirements,
         limit: Duration,
         candidates: &[Candidate],
     ) -> Option<Choice> {
         let found = if self.rounds == 0 {
-            easy(wish, EASY, &heard(candidates))
+            best_by_report(requirements, REPORT_SUFFICES, &with_known_load(candidates))
         } else {
-            cheapest(wish, limit, self.answered(candidates))
+            cheapest(requirements, limit, self.answered(candidates))
         };
         found.map(|found| found.chosen())
     }
 
-    /// Those of the endpoints asked that have answered.
+    /// The queried endpoints whose agents have answered.
     fn answered<'a>(&'a self, candidates: &'a [Candidate]) -> impl Iterator<Item = &'a Candidate> {
-        let asked = candidates.iter().filter(|candidate| self.asked.contains(&candidate.number));
-        asked.filter(|candidate| candidate.agent == Agent::Answered)
+        let queried =
+            candidates.iter().filter(|candidate| self.queried.contains(&candidate.number));
+        queried.filter(|candidate| candidate.agent == Agent::Answered)
     }
 
-    /// The endpoints to be asked next: the best of some that were drawn.
-    fn next_asked(&self, wish: &Requirements, candidates: &[Candidate]) -> Vec<usize> {
+    /// The endpoints to be queried next: the best of a sample.
+    fn next_queried(&self, requirements: &Requirements, candidates: &[Candidate]) -> Vec<usize> {
         let left = candidates.iter().filter(|candidate| {
-            candidate.agent != Agent::None && !self.asked.contains(&candidate.number)
+            candidate.agent != Agent::None && !self.queried.contains(&candidate.number)
         });
         let left: Vec<Candidate> = left.copied().collect();
-        let mut drawn = draw(wish.seed, &left, DRAWN);
-        drawn.sort_by_key(|candidate| (cost_of_usual(wish, candidate), candidate.number));
-        drawn.truncate(ASKED);
-        drawn.iter().map(|candidate| candidate.number).collect()
+        let mut sampled = sample(requirements.seed, &left, SAMPLED);
+        sampled.sort_by_key(|candidate| (cost_of_usual(requirements, candidate), candidate.number));
+        sampled.truncate(QUERIED);
+        sampled.iter().map(|candidate| candidate.number).collect()
     }
 
-    /// What is done when no endpoint that was asked has room. Where none has answered,
-    /// nothing tells that there is none.
-    fn give_up(&self, wish: &Requirements, candidates: &[Candidate]) -> Choice {
+    /// The choice if no queried endpoint has capacity. If no agent has answered, there is no
+    /// evidence of that, and reports decide.
+    fn conclude(&self, requirements: &Requirements, candidates: &[Candidate]) -> Choice {
         if self.answered(candidates).next().is_some() {
-            refusal(wish, limit(wish), self.answered(candidates))
+            refusal(requirements, limit(requirements), self.answered(candidates))
         } else {
-            pick(wish, &heard(candidates))
+            pick(requirements, &with_known_load(candidates))
         }
     }
 }
 
-/// The candidates of which something is known without asking.
-fn heard(candidates: &[Candidate]) -> Vec<Candidate> {
+/// The candidates whose load is known without a query.
+fn with_known_load(candidates: &[Candidate]) -> Vec<Candidate> {
     candidates.iter().filter(|candidate| candidate.agent != Agent::NotReporting).copied().collect()
 }
--- a/crates/core/src/gateway/rotation.rs
+++ b/crates/core/src/gateway/rotation.rs
@@ -1,30 +1,30 @@
-//! Which gateways an agent tells of its engine, and when.
+//! Which gateways an agent reports to at each tick, and which one it queries.
 //!
-//! An agent asks its engine ten times a second. Were it to tell all gateways each
-//! time, what agents send would grow with the product of both numbers; so it tells
-//! some of them each time.
+//! An agent polls its engine ten times a second. If it reported to all gateways each time, its
+//! traffic would grow with the product of the numbers of agents and gateways. So it reports to
+//! a part of them at each tick, in rotation.
 
-/// How many gateways an agent tells at a time: where there are more, they take
-/// turns.
-const TOLD_AT_ONCE: usize = 14;
+/// Number of gateways that an agent reports to at each tick. The gateways rotate if there are
+/// more.
+const GATEWAYS_PER_TICK: usize = 14;
 
-/// The most turns: a report is [fresh](super::load::MAX_REPORT_AGE) for twice as long, so
-/// one may be lost.
-const MOST_TURNS: usize = 3;
+/// Upper bound on the ticks per rotation. A report is valid for
+/// [twice as long](super::load::MAX_REPORT_AGE) as a rotation takes, so that one may be lost.
+const MAX_TICKS: usize = 3;
 
-/// Which of so many gateways an agent tells at a tick, by their numbers.
+/// The gateways, by their indices, that an agent reports to at a tick.
 pub fn scheduled(gateways: usize, tick: usize) -> impl Iterator<Item = usize> {
-    let turns = gateways.div_ceil(TOLD_AT_ONCE).clamp(1, MOST_TURNS);
-    (0..gateways).skip(tick % turns).step_by(turns)
+    let ticks = gateways.div_ceil(GATEWAYS_PER_TICK).clamp(1, MAX_TICKS);
+    (0..gateways).skip(tick % ticks).step_by(ticks)
 }
 
-/// After how many questions the ones that go to the last answerer recur: no
-/// multiple of any number of turns, so that all gateways are asked in the end.
-const ROUND: usize = 5;
+/// Number of queries after which the pattern of [`queries_last_responder`] repeats. It is not a
+/// multiple of any length of a rotation, so that every gateway is queried eventually.
+const PATTERN_LENGTH: usize = 5;
 
-/// Whether an agent's next question goes to whoever answered last, which most
-/// likely lives, and not to any other gateway.
+/// Whether an agent sends a query to the gateway that responded last, which is the most likely
+/// to be alive, rather than to the next gateway of the rotation.
 #[must_use]
-pub fn queries_last_responder(question: usize) -> bool {
-    matches!(question % ROUND, 0 | 2)
+pub fn queries_last_responder(query: usize) -> bool {
+    matches!(query % PATTERN_LENGTH, 0 | 2)
 }
--- a/crates/core/src/gateway/size.rs
+++ b/crates/core/src/gateway/size.rs
@@ -1,20 +1,20 @@
-//! Classes of sizes: few enough to count requests by.
+//! Size classes of requests, few enough to be used as metric labels.
 
-/// How a size compares with a usual one.
+/// A size relative to the usual size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// Up to half of it.
+    /// At most half of the usual size.
     Half,
-    /// Up to as much.
+    /// More than half of the usual size, and at most the usual size.
     Usual,
-    /// Up to twice as much.
+    /// More than the usual size, and at most twice the usual size.
     Double,
-    /// More.
+    /// More than twice the usual size.
     Beyond,
 }
 
 impl Class {
-    /// The class of a size, where so much is usual; both in the same unit.
+    /// The class of a size; `size` and `usual` have the same unit.
     #[must_use]
     pub fn of(size: u64, usual: u64) -> Self {
         if size > usual.saturating_mul(2) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A word for labels.
+    /// The label of the class in metrics and log lines.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/core/src/gateway/subset.rs
+++ b/crates/core/src/gateway/subset.rs
@@ -1,16 +1,18 @@
-//! Which engines' agents report to a gateway.
+//! Selects the engines whose agents report to a gateway (deterministic subsetting).
 //!
-//! Were each agent to report to each gateway, what agents send would grow with the product of
-//! their numbers, and most of it over the links between regions. So a gateway subscribes to the
-//! agents of some engines, ranked by a hash: of its own region as many as keep its choice as
-//! good as among all, of each other region so many that the reports of one region to another
-//! take a fixed part of their link. Where there are few gateways or engines, that is all of
-//! them. Engines beyond the subset are asked when one of it has no room.
+//! If each agent reported to each gateway, the traffic would grow with the product of their
+//! numbers, and most of it would cross the links between regions. So a gateway subscribes to the
+//! agents of a subset of the engines, ranked by a hash. In its own region the subset is large
+//! enough that its choice is as good as among all engines. In each other region the subset is
+//! limited so that the reports from one region to another use a fixed part of their link. With
+//! few gateways or engines, the subset contains all engines. Engines outside the subset are
+//! queried if no engine in it has capacity.
 //!
 //! With `G` gateways and `E` engines in a region a gateway receives the reports of at most
-//! [`OWN_REGION_ENGINES`] engines of its region (more only where `G` is far below `E`), an agent reports to
-//! some `OWN_REGION_ENGINES * G / E` of its gateways, and over a link to another region go the reports for
-//! [`CROSS_REGION_PAIRS`] pairs of an engine and a gateway, or [`MIN_OTHER_REGION_ENGINES`] for each gateway.
+//! [`OWN_REGION_ENGINES`] engines of its region (more only if `G` is far below `E`), and an agent
+//! reports to about `OWN_REGION_ENGINES * G / E` gateways of its region. A link to another region
+//! carries the reports for [`CROSS_REGION_PAIRS`] pairs of an engine and a gateway, or for
+//! [`MIN_OTHER_REGION_ENGINES`] engines per gateway if that is more.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -20,42 +22,45 @@
 use super::rotation::scheduled;
 use crate::rendezvous::{Key, weight};
 
-/// How many engines of its own region a gateway has reports of: enough for some to have room
-/// while half of them change their weights, few enough that a kept connection is used again.
+/// Number of engines of its own region that report to a gateway. Large enough that some have
+/// capacity while half of them change their weights, small enough that idle connections are
+/// reused.
 pub const OWN_REGION_ENGINES: usize = 32;
 
-/// How many gateways of its own region an engine is reported to on average, at least.
-const LEAST_TOLD: usize = 8;
+/// Lower bound on the mean number of gateways of its own region that an agent reports to.
+const MIN_GATEWAYS_PER_ENGINE: usize = 8;
 
-/// How many pairs of an engine and a gateway of another region are told of each other over one
-/// link between two regions.
+/// Number of pairs of an engine and a gateway whose reports are sent over one link between two
+/// regions.
 pub const CROSS_REGION_PAIRS: usize = 450;
 
-/// How many engines of each other region a gateway has reports of, at least.
+/// Lower bound on the number of engines of each other region that report to a gateway.
 pub const MIN_OTHER_REGION_ENGINES: usize = 4;
 
-/// How often a gateway says that it wants an agent's reports.
+/// Interval at which a gateway renews its subscriptions.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an agent reports to a gateway that says nothing more. Long, so that one behind a
-/// link that is cut has reports as soon as the cut ends.
+/// How long a subscription lasts after its last renewal. Long, so that a gateway receives reports
+/// again as soon as a network partition ends.
 const LEASE: Duration = Duration::from_secs(30);
 
-/// How many engines of its own region a gateway subscribes to, where there are so many engines
-/// and gateways in it.
+/// Number of engines that a gateway subscribes to in its own region, which has `engines` engines
+/// and `gateways` gateways.
 #[must_use]
 pub fn own_region_count(engines: usize, gateways: usize) -> usize {
-    OWN_REGION_ENGINES.max((LEAST_TOLD * engines).div_ceil(gateways.max(1))).min(engines)
+    OWN_REGION_ENGINES
+        .max((MIN_GATEWAYS_PER_ENGINE * engines).div_ceil(gateways.max(1)))
+        .min(engines)
 }
 
-/// How many engines of one other region a gateway subscribes to, where there are so many
-/// gateways in its own.
+/// Number of engines that a gateway subscribes to in each other region, if its own region has
+/// `gateways` gateways.
 #[must_use]
 pub fn other_region_count(gateways: usize) -> usize {
     MIN_OTHER_REGION_ENGINES.max(CROSS_REGION_PAIRS / gateways.max(1))
 }
 
-/// The first of some engines in a gateway's own ranking, by their addresses.
+/// The `count` engines that a gateway ranks highest, by rendezvous hashing of their addresses.
 #[must_use]
 pub fn top_ranked(gateway: Key, mut engines: Vec<SocketAddr>, count: usize) -> Vec<SocketAddr> {
     if engines.len() > count {
@@ -66,25 +71,25 @@
     engines
 }
 
-/// The gateways that want an agent's reports, and until when.
+/// The gateways that have subscribed to an agent's reports, with the end of each subscription.
 #[derive(Debug, Default)]
 pub struct Subscribers(BTreeMap<SocketAddr, Duration>);
 
 impl Subscribers {
-    /// Adds a gateway, or keeps it for another lease.
+    /// Adds a gateway or extends its subscription, and removes subscriptions that have ended.
     pub fn renew(&mut self, gateway: SocketAddr, now: Duration) {
         self.0.retain(|_, until| *until > now);
         self.0.insert(gateway, now + LEASE);
     }
 
-    /// All of them.
+    /// The gateways whose subscriptions have not ended.
     #[must_use]
     pub fn active(&self, now: Duration) -> Vec<SocketAddr> {
-        let live = self.0.iter().filter(|(_, until)| **until > now);
-        live.map(|(gateway, _)| *gateway).collect()
+        let active = self.0.iter().filter(|(_, until)| **until > now);
+        active.map(|(gateway, _)| *gateway).collect()
     }
 
-    /// Those whose turn it is at a tick.
+    /// Those of `gateways` that an agent reports to at a tick.
     #[must_use]
     pub fn scheduled(gateways: &[SocketAddr], tick: usize) -> Vec<SocketAddr> {
         scheduled(gateways.len(), tick).map(|number| gateways[number]).collect()
--- a/crates/core/src/gateway/tally.rs
+++ b/crates/core/src/gateway/tally.rs
@@ -1,8 +1,9 @@
-//! What all gateways together have outstanding at one endpoint.
+//! Sums the outstanding requests of all gateways at one endpoint.
 //!
-//! An engine's own report leaves out what has come since its last pass. Each gateway
-//! knows exactly what it has sent and what of it has begun, so gateways tell the
-//! endpoint's agent, which adds that up and tells each of them what the others have.
+//! The report of an engine omits requests that have arrived since its last pass. Each gateway
+//! knows exactly which requests it has sent and which of them have their first token. So gateways
+//! send these counts to the endpoint's agent, which adds them up in a [`Tally`] and reports to
+//! each gateway what the others have outstanding.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,20 +11,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How often a gateway tells of what it has outstanding, changed or not.
+/// Interval at which a gateway sends its outstanding requests even if they have not changed.
 pub const REPEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long what a gateway told counts: two repeats may be lost on the way.
-const KEPT: Duration = Duration::from_millis(1300);
+/// How long the counts of a gateway are valid: two repetitions may be lost.
+const VALIDITY: Duration = Duration::from_millis(1300);
 
-/// Requests at one endpoint that have not ended.
+/// Counts of the requests at one endpoint that have not ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outstanding {
-    /// All of them.
+    /// Number of all of them.
     pub requests: u32,
-    /// Those that wait for their first token.
+    /// Number of those that wait for their first token.
     pub waiting: u32,
-    /// The prompt tokens of those that wait.
+    /// Prompt tokens of those that wait.
     pub unread: u32,
 }
 
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Both together.
+    /// The sum of both, saturating.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -53,25 +54,31 @@
     }
 }
 
-/// What one gateway told last.
+/// The newest counts that one gateway has sent.
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct Received {
     outstanding: Outstanding,
-    // The gateway's own time, by which a datagram that was overtaken is known.
+    // By the gateway's clock; identifies datagrams that arrive out of order.
     sent: Duration,
-    // Our own time.
+    // By the agent's clock.
     at: Duration,
 }
 
-/// What each gateway has outstanding at an endpoint, as its agent knows it.
+impl Received {
+    fn is_valid(&self, now: Duration) -> bool {
+        self.at + VALIDITY > now
+    }
+}
+
+/// The outstanding requests of each gateway at an endpoint, kept by the endpoint's agent.
 #[derive(Debug, Default)]
 pub struct Tally {
-    told: HashMap<SocketAddr, Told>,
+    received: HashMap<SocketAddr, Received>,
 }
 
 impl Tally {
-    /// Takes in what a gateway told at its own time `sent`; what it told later and
-    /// came sooner stays, while it counts.
+    /// Applies the counts that a gateway sent at `sent` by its own clock. Ignores them if newer
+    /// counts of the gateway have arrived and are still valid.
     pub fn apply(
         &mut self,
         gateway: SocketAddr,
@@ -79,35 +86,30 @@
         sent: Duration,
         now: Duration,
     ) {
-        self.forget(now);
-        let overtaken = self.told.get(&gateway).is_some_and(|told| told.sent > sent);
-        if !overtaken {
-            self.told.insert(gateway, Told { outstanding, sent, at: now });
+        self.expire(now);
+        let is_outdated = self.received.get(&gateway).is_some_and(|last| last.sent > sent);
+        if !is_outdated {
+            self.received.insert(gateway, Received { outstanding, sent, at: now });
         }
     }
 
-    /// What all gateways have outstanding.
+    /// The outstanding requests of all gateways.
     #[must_use]
     pub fn total(&self, now: Duration) -> Outstanding {
-        let told = self.told.values().filter(|told| counts(told, now));
-        told.map(|told| told.outstanding).fold(Outstanding::default(), Outstanding::plus)
+        let valid = self.received.values().filter(|received| received.is_valid(now));
+        valid.map(|received| received.outstanding).fold(Outstanding::default(), Outstanding::plus)
     }
 
-    /// What of all that is outstanding is not a gateway's own. All of it is given,
-    /// since it is the same for every gateway that is told.
+    /// The outstanding requests of all gateways but one. The caller passes the
+    /// [total](Self::total), so that it is computed once for all gateways.
     #[must_use]
-    pub fn others(&self, all: Outstanding, gateway: SocketAddr, now: Duration) -> Outstanding {
-        let own = self.told.get(&gateway).filter(|told| counts(told, now));
-        own.map_or(all, |own| all.without(own.outstanding))
+    pub fn others(&self, total: Outstanding, gateway: SocketAddr, now: Duration) -> Outstanding {
+        let own = self.received.get(&gateway).filter(|received| received.is_valid(now));
+        own.map_or(total, |own| total.without(own.outstanding))
     }
 
-    /// Forgets gateways that have fallen silent.
-    fn forget(&mut self, now: Duration) {
-        self.told.retain(|_, told| counts(told, now));
+    /// Removes counts that are no longer valid.
+    fn expire(&mut self, now: Duration) {
+        self.received.retain(|_, received| received.is_valid(now));
     }
 }
-
-/// Whether what a gateway told still counts.
-fn counts(told: &Told, now: Duration) -> bool {
-    told.at + KEPT > now
-}
