--- a/src/cinderspoke/gateway/crash.rs
+++ b/src/cinderspoke/gateway/crash.rs
@@ -72,7 +72,7 @@
         }
     });
     if is_suspected && let Err(error) = investigation.await {
-        tracing::error!(%error, "looking for the end of an endpoint");
+        tracing::error!(%error, "investigating a crash of an endpoint failed");
     }
 }
 
@@ -102,7 +102,7 @@
             fingerprint = %self.fingerprint,
             after_ms = self.broke.saturating_sub(self.sent).as_millis() as u64,
             held = news == Change::Quarantined,
-            "an endpoint ended under a request"
+            "endpoint crashed while it ran a request"
         );
     }
 }
--- a/src/cinderspoke/gateway/head.rs
+++ b/src/cinderspoke/gateway/head.rs
@@ -97,7 +97,10 @@
         let end = began + self.limit;
         let timer = self.timer.get_or_insert_with(|| Box::pin(sleep_until(end)));
         ready!(timer.as_mut().poll(context));
-        Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, "a head did not come in time")))
+        Poll::Ready(Err(io::Error::new(
+            io::ErrorKind::TimedOut,
+            "request head not received in time",
+        )))
     }
 }
 
--- a/src/cinderspoke/gateway/passthrough.rs
+++ b/src/cinderspoke/gateway/passthrough.rs
@@ -83,7 +83,7 @@
         loop {
             let until = self.next_event_deadline();
             let Some(stream) = &mut self.stream else {
-                return Some(Err(self.break_off("no endpoint could go on")));
+                return Some(Err(self.break_off("no endpoint could resume the stream")));
             };
             match stream.next(&until).await {
                 Ok(Item::Events(events)) => return Some(self.forward(events)),
@@ -96,7 +96,7 @@
                     return None;
                 }
                 Err(Interrupted::TimedOut) if self.parsed.deadline.is_over() => {
-                    return Some(Err(self.break_off("no time is left")));
+                    return Some(Err(self.break_off("the deadline passed during the stream")));
                 }
                 Err(interrupted) => self.resume(interrupted).await,
             }
@@ -120,7 +120,7 @@
         if let (Some(last), Some(new)) = (self.last, events.last_id)
             && new <= last
         {
-            return Err(self.break_off("events came twice"));
+            return Err(self.break_off("an endpoint repeated events"));
         }
         self.last = events.last_id.or(self.last);
         self.record.events_sent();
--- a/src/cinderspoke/gateway/pool.rs
+++ b/src/cinderspoke/gateway/pool.rs
@@ -98,7 +98,7 @@
             return Ok(Checkout { connection, reused: true });
         }
         let connected = timeout(CONNECT_TIMEOUT, connect(self.address)).await;
-        let connection = connected.context("connecting took too long")??;
+        let connection = connected.context("connecting timed out")??;
         Ok(Checkout { connection, reused: false })
     }
 
--- a/src/cinderspoke/gateway/quarantine.rs
+++ b/src/cinderspoke/gateway/quarantine.rs
@@ -94,7 +94,7 @@
                     %request,
                     held = quarantined,
                     %error,
-                    "the store was not told what is held back"
+                    "cannot write a quarantined request to the store"
                 );
                 sleep(BACKOFF).await;
                 pending.lock().writes.entry(request).or_insert(quarantined);
@@ -107,7 +107,7 @@
 /// Reads the store; returns when to retry if the read failed.
 async fn read_or_retry(state: &State, store: &dyn Holds) -> Option<Instant> {
     let error = read(state, store).await.err()?;
-    tracing::info!(%error, "the store did not say what is held back");
+    tracing::info!(%error, "cannot read quarantined requests from the store");
     Some(Instant::now() + BACKOFF)
 }
 
--- a/src/cinderspoke/gateway/record.rs
+++ b/src/cinderspoke/gateway/record.rs
@@ -182,7 +182,7 @@
             own_ms = ms(best.map(|best| best.forecast.prefill)),
             wait_ms = ms(best.map(|best| best.forecast.wait)),
             limit_ms = ms(best.map(|best| best.max_wait)),
-            "no endpoint for a request"
+            "no endpoint can take a request"
         );
     }
 
@@ -198,7 +198,7 @@
         };
         counter!(ATTEMPTS, "result" => label).increment(1);
         let after_ms = self.arrived.elapsed().as_millis() as u64;
-        tracing::info!(id = self.id(), %endpoint, fate = label, after_ms, "a send failed");
+        tracing::info!(id = self.id(), %endpoint, fate = label, after_ms, "attempt failed");
     }
 
     /// Records that the first byte or event of an answer was received.
@@ -237,7 +237,7 @@
 
     /// Logs that the request cannot be parsed.
     pub fn invalid(&self, misfit: &Misfit) {
-        tracing::info!(id = self.id(), %misfit, "request cannot be understood");
+        tracing::info!(id = self.id(), %misfit, "request cannot be parsed");
     }
 
     /// Records that the gateway answered the request itself.
--- a/src/cinderspoke/gateway/serve.rs
+++ b/src/cinderspoke/gateway/serve.rs
@@ -45,7 +45,7 @@
                 tokio::spawn(caller(stream, Arc::clone(&context)));
             }
             Err(error) => {
-                tracing::warn!(%error, "a connection could not be accepted");
+                tracing::warn!(%error, "cannot accept a connection");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -62,7 +62,7 @@
         .set_nodelay(true)
         .and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)));
     if let Err(error) = prepared {
-        tracing::debug!(%error, "a caller's connection has ended already");
+        tracing::debug!(%error, "caller's connection closed before it was served");
         return;
     }
     let limits = context.limits();
@@ -110,7 +110,7 @@
         }
     };
     if let Err(error) = ended {
-        tracing::debug!(%error, "a caller's connection broke off");
+        tracing::debug!(%error, "caller's connection failed");
     }
 }
 
@@ -123,7 +123,7 @@
 pub async fn router(listener: TcpListener, app: Router, token: CancellationToken) {
     let served = axum::serve(listener, app).with_graceful_shutdown(token.cancelled_owned()).await;
     if let Err(error) = served {
-        tracing::error!(%error, "a listener ended");
+        tracing::error!(%error, "listener failed");
     }
 }
 
--- a/src/cinderspoke/gateway/target.rs
+++ b/src/cinderspoke/gateway/target.rs
@@ -174,7 +174,7 @@
     /// Records how a request ended; closes idle connections if that ejects the endpoint.
     pub fn observe(&self, sign: Observation, now: Duration) {
         if self.tracking().health.record(sign, now) {
-            tracing::info!(endpoint = %self.name, ?sign, "endpoint left out for a while");
+            tracing::info!(endpoint = %self.name, ?sign, "endpoint ejected");
             self.pool.close_idle();
         }
     }
