--- a/crates/core/src/gateway/cold.rs
+++ b/crates/core/src/gateway/cold.rs
@@ -13,7 +13,7 @@
 use crate::rendezvous::{Key, weight};
 
 /// Fraction of the limit that is shared out. Requests sent within one second may arrive within
-/// less than a second, so the full limit would be exceeded at the endpoint.
+/// less than a second, which could exceed the full limit at the endpoint.
 const SHARED_FRACTION: f64 = 0.8;
 
 /// Window over which the requests to an endpoint are counted: slightly longer than the one
--- a/crates/core/src/gateway/mod.rs
+++ b/crates/core/src/gateway/mod.rs
@@ -27,7 +27,7 @@
 //! - Retries: [`attempt`] records the outcome of each send of a request, and [`budget`] limits
 //!   the sends beyond the first. Each gateway has a share of that budget, and [`gossip`] counts
 //!   the gateways.
-//! - [`notice`] stores what endpoints announce in their answers.
+//! - [`notice`] stores what endpoints announce in their answers: that they drain or back off.
 //! - [`suspect`] tracks requests during which endpoints ended, by [`fingerprint`].
 //! - [`event`] splits a stream into whole events, so that another endpoint can resume it.
 
@@ -56,7 +56,6 @@
 pub mod outage;
 pub mod overlap;
 pub mod pick;
-
 pub mod region;
 pub mod reservation;
 pub mod residency;
--- a/crates/core/src/gateway/name.rs
+++ b/crates/core/src/gateway/name.rs
@@ -1,4 +1,4 @@
-//! Names assigned by the platform. They are opaque: code compares them and never parses them.
+//! Names from the platform. They are opaque: code compares them and never parses them.
 
 use std::borrow::Borrow;
 use std::fmt;
