--- a/src/cinderspoke/gateway/agents.rs
+++ b/src/cinderspoke/gateway/agents.rs
@@ -40,15 +40,15 @@
         from: SocketAddr,
         service: Service,
         plan: u64,
-        wanted: u64,
+        current: u64,
     ) -> bool {
         let now = Instant::now();
         let mut agents = self.lock();
         let agent =
             agents.entry(from).or_insert(Agent { service, plan, reported: now, hinted: None });
         (agent.plan, agent.reported) = (plan, now);
-        let rested = agent.hinted.is_none_or(|hinted| hinted + HINT_INTERVAL <= now);
-        let hint = wanted != plan && rested;
+        let may_hint = agent.hinted.is_none_or(|hinted| hinted + HINT_INTERVAL <= now);
+        let hint = current != plan && may_hint;
         if hint {
             agent.hinted = Some(now);
         }
--- a/src/cinderspoke/gateway/facts.rs
+++ b/src/cinderspoke/gateway/facts.rs
@@ -51,7 +51,7 @@
 /// A newer list of endpoints that another gateway has.
 pub(super) struct Awaited {
     from: SocketAddr,
-    known: Summary,
+    summary: Summary,
     is_near: bool,
     // When it is to be fetched, by the gateway's clock.
     due: Duration,
@@ -80,7 +80,7 @@
     /// Fetches from one gateway after the other until none is known to have a newer configuration.
     async fn fetch_from_others(&self) {
         loop {
-            let (gateway, pause) = match self.state.next_fetch_step(rand::random()) {
+            let (gateway, idle_timeout) = match self.state.next_fetch_step(rand::random()) {
                 Step::FetchNear(gateway) => (gateway, NEAR_IDLE_TIMEOUT),
                 Step::FetchFar(gateway) => (gateway, FAR_IDLE_TIMEOUT),
                 Step::Wait(time) => {
@@ -94,7 +94,7 @@
                 // The watch of the store should have returned it by now.
                 self.state.request_resync();
             }
-            if let Err(error) = self.fetch(gateway, pause).await {
+            if let Err(error) = self.fetch(gateway, idle_timeout).await {
                 tracing::debug!(
                     %gateway,
                     error = format!("{error:#}"),
@@ -107,17 +107,17 @@
     /// Schedules fetching a newer list of endpoints from a gateway, unless a list is awaited
     /// already. A gateway of the own region replaces an awaited one of another region. Nothing
     /// is fetched if the list arrives by other means in time.
-    pub(super) fn fetch_list(self: &Arc<Self>, from: SocketAddr, known: &Summary) {
+    pub(super) fn fetch_list(self: &Arc<Self>, from: SocketAddr, summary: &Summary) {
         let is_near = self.state.is_neighbour(from);
         let due = self.state.clock().now() + self.list_delay(is_near);
         let mut awaited = self.awaited_list();
         if let Some(awaited) = &mut *awaited {
             if is_near && !awaited.is_near {
-                *awaited = Awaited { from, known: known.clone(), is_near, due };
+                *awaited = Awaited { from, summary: summary.clone(), is_near, due };
             }
             return;
         }
-        *awaited = Some(Awaited { from, known: known.clone(), is_near, due });
+        *awaited = Some(Awaited { from, summary: summary.clone(), is_near, due });
         drop(awaited);
         let relay = Arc::clone(self);
         tokio::spawn(async move { relay.fetch_awaited().await });
@@ -148,15 +148,15 @@
             sleep(LIST_POLL).await;
         }
         let awaited = self.awaited_list().take();
-        let Some(Awaited { from, known, is_near, .. }) = awaited else { return };
-        if !knows_more(&known, &self.state.summary()) {
+        let Some(Awaited { from, summary, is_near, .. }) = awaited else { return };
+        if !has_newer(&summary, &self.state.summary()) {
             return;
         }
         if self.state.role() == Role::Reader {
             self.state.request_resync();
         }
-        let pause = if is_near { NEAR_IDLE_TIMEOUT } else { FAR_IDLE_TIMEOUT };
-        if let Err(error) = self.fetch(from, pause).await {
+        let idle_timeout = if is_near { NEAR_IDLE_TIMEOUT } else { FAR_IDLE_TIMEOUT };
+        if let Err(error) = self.fetch(from, idle_timeout).await {
             tracing::debug!(
                 %from,
                 error = format!("{error:#}"),
@@ -167,41 +167,41 @@
 
     /// Fetches newer data from a gateway and applies it. If a configuration difference cannot be
     /// applied, the whole configuration is requested.
-    async fn fetch(&self, from: SocketAddr, pause: Duration) -> Result<()> {
-        let (_, held) = self.state.configuration_identity();
-        let facts = self.ask(from, pause, held).await?;
+    async fn fetch(&self, from: SocketAddr, idle_timeout: Duration) -> Result<()> {
+        let (_, base) = self.state.configuration_identity();
+        let facts = self.request(from, idle_timeout, base).await?;
         if let Err(misfit) = self.apply(facts) {
             tracing::warn!(%from, %misfit, "a configuration difference cannot be applied");
-            self.apply(self.ask(from, pause, Hash::default()).await?)?;
+            self.apply(self.request(from, idle_timeout, Hash::default()).await?)?;
         }
         Ok(())
     }
 
     /// Requests newer data from a gateway. The hash names the configuration in force here, from
     /// which the answer may be a difference.
-    async fn ask(&self, from: SocketAddr, pause: Duration, held: Hash) -> Result<Facts> {
-        let known = self.state.summary();
+    async fn request(&self, from: SocketAddr, idle_timeout: Duration, base: Hash) -> Result<Facts> {
+        let summary = self.state.summary();
         let path = format!(
             "/v1/facts?configuration={}&configuration_hash={}&directory={}&directory_hash={}",
-            known.configuration, held.0, known.directory.0, known.directory_hash,
+            summary.configuration, base.0, summary.directory.0, summary.directory_hash,
         );
         let progress = Progress::default();
-        let call = Call::get(from, path).alone().pause(pause).timeout(TIMEOUT);
+        let call = Call::get(from, path).alone().pause(idle_timeout).timeout(TIMEOUT);
         let answer = self.client.fetch(call.progress(&progress)).await?;
         let facts: Facts = postcard::from_bytes(&answer).context("reading facts")?;
         if let Some(configuration) = &facts.configuration {
             let version = configuration.value.version();
             fetch_log::completed("gateway", &from.to_string(), version, &progress);
         }
-        self.meet(facts.gateways.clone()).await;
+        self.discover(facts.gateways.clone()).await;
         self.state.merge_suspects(&facts.suspects);
         Ok(facts)
     }
 
     /// Applies the data from a gateway.
     fn apply(&self, facts: Facts) -> Result<(), ApplyError> {
-        let known = self.state.summary();
-        if let Some(directory) = facts.directory.filter(|list| list.revision > known.directory) {
+        let summary = self.state.summary();
+        if let Some(directory) = facts.directory.filter(|list| list.revision > summary.directory) {
             self.state.apply_directory(directory, "gateway");
         }
         match facts.configuration {
@@ -212,15 +212,15 @@
 }
 
 /// Whether the first summary has newer data than the other.
-pub(super) fn knows_more(one: &Summary, other: &Summary) -> bool {
+pub(super) fn has_newer(one: &Summary, other: &Summary) -> bool {
     one.configuration > other.configuration
         || (one.directory > other.directory && one.directory_hash != other.directory_hash)
-        || knows_more_zones(one, other)
+        || has_newer_zones(one, other)
 }
 
 /// Whether the first summary has newer and different evacuated zones, or is the only one that
 /// has them.
-fn knows_more_zones(one: &Summary, other: &Summary) -> bool {
+fn has_newer_zones(one: &Summary, other: &Summary) -> bool {
     match (&one.evacuated, &other.evacuated) {
         (Some(one), Some(other)) => one.revision > other.revision && one.value != other.value,
         (one, other) => one.is_some() && other.is_none(),
@@ -229,7 +229,7 @@
 
 /// The query of a request for newer data: what the requester has.
 #[derive(Debug, Deserialize)]
-pub(super) struct Asked {
+pub(super) struct FactsQuery {
     configuration: u64,
     configuration_hash: u64,
     directory: u64,
@@ -237,12 +237,15 @@
 }
 
 /// Serves another gateway the data that it lacks.
-pub(super) async fn serve(State(relay): State<Arc<Relay>>, Query(asked): Query<Asked>) -> Bytes {
+pub(super) async fn serve(
+    State(relay): State<Arc<Relay>>,
+    Query(query): Query<FactsQuery>,
+) -> Bytes {
     let state = &relay.state;
-    let held = Hash(asked.configuration_hash);
+    let base = Hash(query.configuration_hash);
     let facts = Facts {
-        configuration: state.configuration_after(asked.configuration, held),
-        directory: state.directory_after(Revision(asked.directory), asked.directory_hash),
+        configuration: state.configuration_after(query.configuration, base),
+        directory: state.directory_after(Revision(query.directory), query.directory_hash),
         gateways: state.gateway_infos(relay.others()),
         suspects: state.suspects().all_updates(state.clock().now()),
     };
--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -107,11 +107,11 @@
     let mut late: VecDeque<Call<'_>> = VecDeque::new();
     source.start().await;
     loop {
-        let (askers, draw) = (source.askers(), rand::random());
-        let mut wait = watch.wait(askers, draw);
+        let (askers, random) = (source.askers(), rand::random());
+        let mut wait = watch.wait(askers, random);
         let is_known = revision.or(source.known()).is_some() && !is_forgotten;
         if is_known && source.role() == Role::Follower {
-            wait_for_poll(watch.poll_interval(askers, draw), &*source, clock).await;
+            wait_for_poll(watch.poll_interval(askers, random), &*source, clock).await;
             watch.record_pause();
             wait = Duration::ZERO;
         }
@@ -124,11 +124,11 @@
         let mut call = call(&*source, revision, wait, &progress);
         let limit = revision.map_or(Duration::ZERO, |_| wait) + MARGIN;
         let timeout = Timeout { clock, progress: &progress, limit };
-        let asked = tokio::select! {
-            asked = wait_for_answer(&mut call, &mut late, &state, &watch, timeout) => asked,
+        let outcome = tokio::select! {
+            outcome = wait_for_answer(&mut call, &mut late, &state, &watch, timeout) => outcome,
             () = source.needless(), if revision.is_some() => Outcome::Needless,
         };
-        match asked {
+        match outcome {
             Outcome::Answered(answer) => {
                 if clock.was_suspended_since(suspended) {
                     // The answer may have been received long before the process resumed.
@@ -316,14 +316,14 @@
 
 /// Removes entries that were retained because of an outage when they expire.
 async fn expire_retained(state: Arc<State>) {
-    let mut kept = state.retention_changes();
+    let mut expiries = state.retention_changes();
     loop {
         match state.next_retention_end() {
-            None => kept.changed().await,
+            None => expiries.changed().await,
             Some(due) => {
                 let left = due.saturating_sub(state.clock().now());
                 tokio::select! {
-                    () = kept.changed() => {}
+                    () = expiries.changed() => {}
                     () = state.clock().sleep(left) => {}
                 }
             }
@@ -362,11 +362,11 @@
     reads_or_is_alone(&shared.state).await;
     let mut failures = 0;
     loop {
-        let met = async {
+        let registered = async {
             shared.registry.announce(&name, own).await?;
             shared.registry.gateways().await
         };
-        match met.await {
+        match registered.await {
             Ok(gateways) => {
                 let others = gateways.into_iter().filter(|gateway| *gateway != own);
                 others.for_each(|gateway| _ = shared.state.observe_gateway(gateway, false));
--- a/src/cinderspoke/gateway/notices.rs
+++ b/src/cinderspoke/gateway/notices.rs
@@ -17,17 +17,22 @@
     ///
     /// The list of endpoints reports this later, and not at all while the store accepts no
     /// writes. Without this, requests would still be sent to endpoints that drain or back off.
-    pub fn observe_answer_head(&self, parsed: &Parsed, target: &Arc<Target>, said: &AnswerHead) {
-        if said.leaves && !target.is_draining() {
+    pub fn observe_answer_head(
+        &self,
+        parsed: &Parsed,
+        target: &Arc<Target>,
+        announced: &AnswerHead,
+    ) {
+        if announced.leaves && !target.is_draining() {
             let (id, endpoint) = (&parsed.call.id, &target.name);
             tracing::info!(%id, %endpoint, "an endpoint announced that it is draining");
             self.state.record_drain(target.run, "answer");
         }
-        if let Some(cold) = said.cold {
+        if let Some(cold) = announced.cold {
             target.extend_cold(self.clock.now() + cold);
         }
-        if let Some(rest) = said.rest {
-            self.state.record_backoff(target, rest);
+        if let Some(backoff) = announced.rest {
+            self.state.record_backoff(target, backoff);
         }
     }
 }
@@ -53,23 +58,23 @@
     }
 
     /// Merges the drains that another gateway knows.
-    pub fn merge_drains(&self, told: &[Update]) {
-        if told.is_empty() {
+    pub fn merge_drains(&self, updates: &[Update]) {
+        if updates.is_empty() {
             return;
         }
         let now = self.clock().now();
         let mut inner = self.lock();
-        let news = inner.notices.merge(told, now);
-        if !news.is_empty() {
-            self.drain_runs(&mut inner, &news, "gateway");
+        let new_runs = inner.notices.merge(updates, now);
+        if !new_runs.is_empty() {
+            self.drain_runs(&mut inner, &new_runs, "gateway");
             drop(inner);
             self.publish();
         }
     }
 
     /// Records that an endpoint asked this gateway to send no requests for a time.
-    fn record_backoff(&self, target: &Target, rest: Duration) {
-        let until = self.clock().now().saturating_add(rest);
+    fn record_backoff(&self, target: &Target, backoff: Duration) {
+        let until = self.clock().now().saturating_add(backoff);
         target.extend_backoff(until);
         let mut inner = self.lock();
         inner.notices.record_backoff(target.run, until);
--- a/src/cinderspoke/gateway/plan.rs
+++ b/src/cinderspoke/gateway/plan.rs
@@ -36,7 +36,7 @@
         let view = self.state.view().generation;
         let mut hashes = self.hashes.lock().unwrap_or_else(PoisonError::into_inner);
         match hashes.get(service) {
-            Some(kept) if kept.view == view => kept.hash,
+            Some(cached) if cached.view == view => cached.hash,
             _ => {
                 let hash = self.plan(service).hash();
                 hashes.insert(service.clone(), Hashed { view, hash });
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -16,15 +16,15 @@
 impl State {
     /// Records the announcement and the configuration version in the summary of another gateway.
     /// Returns true if this is the first summary from it.
-    pub fn observe_summary(&self, from: SocketAddr, known: &Summary) -> bool {
-        let (now, version) = (self.clock().now(), known.configuration);
+    pub fn observe_summary(&self, from: SocketAddr, summary: &Summary) -> bool {
+        let (now, version) = (self.clock().now(), summary.configuration);
         let mut inner = self.lock();
-        let is_new = inner.region.observe(from, &known.announcement, version, now);
+        let is_new = inner.region.observe(from, &summary.announcement, version, now);
         let in_force = inner.version();
         if version == in_force {
             // The version in force is still the newest at that revision. The newer revision matters
             // since the store drops old history, so that a watch from an older one fails.
-            let revision = inner.configuration.revision.max(known.configuration_revision);
+            let revision = inner.configuration.revision.max(summary.configuration_revision);
             inner.configuration.revision = revision;
         }
         let is_news = inner.lag.record(version, now) && version > in_force;
@@ -146,10 +146,10 @@
 
     /// The next step to fetch the configuration, if another gateway has a newer one.
     #[must_use]
-    pub fn next_fetch_step(&self, draw: f64) -> Step {
+    pub fn next_fetch_step(&self, random: f64) -> Step {
         let (role, behind) = (self.role(), self.configuration_behind());
         let inner = self.lock();
-        inner.region.next_step(inner.version(), behind, role, self.clock().now(), draw)
+        inner.region.next_step(inner.version(), behind, role, self.clock().now(), random)
     }
 
     /// Records that the configuration is requested from a gateway.
@@ -168,20 +168,20 @@
     /// The configuration, if it is newer than a version: as a difference from the one with a hash,
     /// or whole if that one is no longer kept.
     #[must_use]
-    pub fn configuration_after(&self, version: u64, held: Hash) -> Option<Fact<Configuration>> {
+    pub fn configuration_after(&self, version: u64, base: Hash) -> Option<Fact<Configuration>> {
         let inner = self.lock();
         let catalog = inner.configuration.value.clone()?;
         if catalog.declared().version <= version {
             return None;
         }
         let revision = inner.configuration.revision;
-        let before = inner.replaced.iter().find(|replaced| replaced.hash() == held).cloned();
+        let before = inner.replaced.iter().find(|replaced| replaced.hash() == base).cloned();
         drop(inner);
-        let told = match before {
+        let update = match before {
             Some(before) => Configuration::Changed(Difference::between(&before, &catalog)),
             None => Configuration::Whole(catalog.declared().clone()),
         };
-        Some(Fact::new(revision, told))
+        Some(Fact::new(revision, update))
     }
 
     /// Applies a configuration from another gateway.
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -28,7 +28,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::agents::Agents;
-use super::facts::{self, Awaited, knows_more};
+use super::facts::{self, Awaited, has_newer};
 use super::message::{Datagram, GatewayInfo, Summary, buffer, pack, receive, send};
 use super::outstanding;
 use super::plan::Planner;
@@ -116,8 +116,8 @@
         let mut buffer = buffer();
         loop {
             match receive(&self.socket, &mut buffer).await {
-                Datagram::Digest { from, summary: known, gateways } => {
-                    self.on_digest(from, known, gateways).await;
+                Datagram::Digest { from, summary, gateways } => {
+                    self.on_digest(from, summary, gateways).await;
                 }
                 Datagram::Report {
                     from,
@@ -125,20 +125,20 @@
                     service,
                     report,
                     plan_hash: plan,
-                    sent_at: told,
+                    sent_at,
                     echo,
                     ages,
-                    query: answers,
+                    query,
                 } => {
                     let endpoint = (service.clone(), engine);
-                    self.state.record_report(endpoint, from, report, told, answers.is_some());
-                    if let Some(number) = answers {
+                    self.state.record_report(endpoint, from, report, sent_at, query.is_some());
+                    if let Some(number) = query {
                         self.state.queries().record_answer(number);
                         continue;
                     }
                     self.state.merge_ages(&ages, "agent");
                     if echo {
-                        let echo = Datagram::Echo { from: self.own, report_sent_at: told };
+                        let echo = Datagram::Echo { from: self.own, report_sent_at: sent_at };
                         send(&self.socket, from, &pack(&echo)).await;
                     }
                     self.on_agent(from, service, plan).await;
@@ -158,37 +158,37 @@
     async fn on_digest(
         self: &Arc<Self>,
         from: SocketAddr,
-        known: Summary,
+        summary: Summary,
         others: Vec<GatewayInfo>,
     ) {
         if from == self.own {
             return;
         }
         self.state.observe_gateway(from, true);
-        let is_stranger = self.state.observe_summary(from, &known);
-        self.meet(others).await;
+        let is_stranger = self.state.observe_summary(from, &summary);
+        self.discover(others).await;
         let own = self.state.summary();
-        self.state.merge_versions(&known.ages, known.rollout_revision);
-        self.state.merge_suspects(&known.suspects);
-        self.state.merge_drains(&known.draining);
-        self.state.merge_store_answers(&known.store_answers);
-        if let Some(emptied) = known.evacuated.clone() {
-            self.state.apply_evacuations(emptied, "gateway");
+        self.state.merge_versions(&summary.ages, summary.rollout_revision);
+        self.state.merge_suspects(&summary.suspects);
+        self.state.merge_drains(&summary.draining);
+        self.state.merge_store_answers(&summary.store_answers);
+        if let Some(evacuated) = summary.evacuated.clone() {
+            self.state.apply_evacuations(evacuated, "gateway");
         }
-        let is_behind = knows_more(&own, &known);
-        if known.configuration > own.configuration {
+        let is_behind = has_newer(&own, &summary);
+        if summary.configuration > own.configuration {
             self.fetch_configuration();
-        } else if knows_more(&known, &own) {
-            self.fetch_list(from, &known);
+        } else if has_newer(&summary, &own) {
+            self.fetch_list(from, &summary);
         }
         if is_behind || is_stranger {
-            send(&self.socket, from, &self.digest_for(&known.announcement.region)).await;
+            send(&self.socket, from, &self.digest_for(&summary.announcement.region)).await;
         }
     }
 
     /// Adds gateways that another one named, and sends a digest to new ones that may be of this
     /// region, so that both know of each other.
-    pub(super) async fn meet(&self, gateways: Vec<GatewayInfo>) {
+    pub(super) async fn discover(&self, gateways: Vec<GatewayInfo>) {
         for gateway in gateways.into_iter().filter(|gateway| gateway.address != self.own) {
             if self.state.discover_gateway(gateway) {
                 send(&self.socket, gateway.address, &self.digest()).await;
@@ -198,9 +198,9 @@
 
     /// Handles the plan in an agent's report: sends a hint if it is outdated.
     async fn on_agent(&self, from: SocketAddr, service: Service, plan: u64) {
-        let wanted = self.planner.hash(&service);
-        if self.agents.record_report(from, service, plan, wanted) {
-            self.hint(from, wanted).await;
+        let current = self.planner.hash(&service);
+        if self.agents.record_report(from, service, plan, current) {
+            self.hint(from, current).await;
         }
     }
 
@@ -230,8 +230,8 @@
     /// cross the links between regions grows with the number of regions, not of gateways.
     fn update_targets(&self) -> BTreeSet<SocketAddr> {
         let sample = |gateways: Vec<SocketAddr>| {
-            let told = gossip::fanout(gateways.len());
-            let sampled = rand::seq::index::sample(&mut rand::rng(), gateways.len(), told);
+            let count = gossip::fanout(gateways.len());
+            let sampled = rand::seq::index::sample(&mut rand::rng(), gateways.len(), count);
             sampled.into_iter().map(move |number| gateways[number])
         };
         let neighbours = sample(self.state.neighbours());
@@ -254,7 +254,7 @@
     /// one ends.
     async fn push_to_region(self: Arc<Self>) {
         let mut role = Role::Follower;
-        let mut told = Instant::now();
+        let mut sent_at = Instant::now();
         loop {
             sleep(ROLE_POLL).await;
             let before = std::mem::replace(&mut role, self.state.role());
@@ -270,11 +270,11 @@
                 }
             }
             if role == before
-                && (role == Role::Follower || told.elapsed() < region::BEACON_INTERVAL)
+                && (role == Role::Follower || sent_at.elapsed() < region::BEACON_INTERVAL)
             {
                 continue;
             }
-            told = Instant::now();
+            sent_at = Instant::now();
             let digest = self.digest();
             for neighbour in self.state.neighbours() {
                 send(&self.socket, neighbour, &digest).await;
@@ -349,17 +349,17 @@
 
 /// The query of a request for a plan.
 #[derive(Debug, Deserialize)]
-struct Wanted {
+struct PlanQuery {
     service: String,
 }
 
 /// Serves an agent its service's plan; unavailable until a configuration is known.
 async fn plan(
     State(relay): State<Arc<Relay>>,
-    Query(wanted): Query<Wanted>,
+    Query(query): Query<PlanQuery>,
 ) -> Result<Bytes, StatusCode> {
     if relay.state.view().catalog.is_none() {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
-    Ok(pack(&relay.planner.plan(&wanted.service.into())).into())
+    Ok(pack(&relay.planner.plan(&query.service.into())).into())
 }
--- a/src/cinderspoke/gateway/source.rs
+++ b/src/cinderspoke/gateway/source.rs
@@ -136,14 +136,14 @@
     /// Whether other gateways are known to have a configuration, or may still announce one.
     fn may_arrive(&self, waited: Duration) -> bool {
         let state = &self.state;
-        let told = state.configuration_behind() > Duration::ZERO;
-        let patience = match state.role() {
-            Role::Reader if !told => {
+        let is_announced = state.configuration_behind() > Duration::ZERO;
+        let timeout = match state.role() {
+            Role::Reader if !is_announced => {
                 ANNOUNCEMENT_TIMEOUT.max(self.discovery_deadline()).min(MAX_ANNOUNCEMENT_TIMEOUT)
             }
             _ => FETCH_TIMEOUT,
         };
-        waited < patience
+        waited < timeout
     }
 
     /// Until when a starting gateway waits because others were discovered lately: the next one
@@ -185,9 +185,9 @@
 
 /// Applies the result of a watch. Returns its revision; none if the store has dropped the history
 /// after the last one.
-fn apply_watch<T>(seen: Seen<T>, news: impl FnOnce(Fact<T>)) -> Option<Revision> {
+fn apply_watch<T>(seen: Seen<T>, apply_changes: impl FnOnce(Fact<T>)) -> Option<Revision> {
     match seen {
-        Seen::News(fact) => Some(apply(fact, news)),
+        Seen::News(fact) => Some(apply(fact, apply_changes)),
         Seen::Forgotten => None,
     }
 }
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -106,11 +106,11 @@
 
     /// Counts the live gateways, this one included, and records how long the count is valid.
     fn count_gateways(&self, inner: &Inner) -> usize {
-        let (now, patience) = (self.clock.now(), liveness_timeout(inner.gateways.len()));
-        let silent_at = inner.gateways.values().map(|heard| *heard + patience);
-        let alive = silent_at.filter(|silent_at| *silent_at >= now);
-        let (others, first) = alive.fold((0, Duration::MAX), |(others, first), silent_at| {
-            (others + 1, first.min(silent_at))
+        let (now, timeout) = (self.clock.now(), liveness_timeout(inner.gateways.len()));
+        let expires_at = inner.gateways.values().map(|last_contact| *last_contact + timeout);
+        let alive = expires_at.filter(|expires_at| *expires_at >= now);
+        let (others, first) = alive.fold((0, Duration::MAX), |(others, first), expires_at| {
+            (others + 1, first.min(expires_at))
         });
         let until = first.max(now + COUNT_INTERVAL).as_millis();
         self.counted_until.store(u64::try_from(until).unwrap_or(u64::MAX), Ordering::Relaxed);
@@ -328,7 +328,7 @@
         endpoint: (Service, SocketAddr),
         agent: SocketAddr,
         report: Report,
-        told: Duration,
+        sent_at: Duration,
         is_answer: bool,
     ) {
         let (target, cold) = {
@@ -346,7 +346,7 @@
                 // It may have restarted while no report of it arrived.
                 target.extend_cold(now + cold.duration);
             }
-            tracking.load.apply_report(report, told, now);
+            tracking.load.apply_report(report, sent_at, now);
             if is_answer {
                 tracking.load.record_answer(now);
             }
@@ -360,11 +360,11 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         let known = inner.gateways.contains_key(&gateway);
-        let patience = liveness_timeout(inner.gateways.len());
-        let heard = inner.gateways.entry(gateway).or_insert(now);
-        let alive = *heard + patience >= now;
+        let timeout = liveness_timeout(inner.gateways.len());
+        let last_contact = inner.gateways.entry(gateway).or_insert(now);
+        let alive = *last_contact + timeout >= now;
         if itself {
-            *heard = now;
+            *last_contact = now;
         }
         if !known {
             inner.discovered_at = now;
--- a/src/cinderspoke/gateway/suspects.rs
+++ b/src/cinderspoke/gateway/suspects.rs
@@ -79,8 +79,8 @@
     }
 
     /// Merges the updates of another gateway.
-    pub fn merge(&self, told: &[Update], now: Duration) -> Merged {
-        self.with_table(|table| table.merge(told, now))
+    pub fn merge(&self, updates: &[Update], now: Duration) -> Merged {
+        self.with_table(|table| table.merge(updates, now))
     }
 
     /// All updates, for a gateway that requests them.
@@ -117,26 +117,26 @@
 impl State {
     /// Records that an endpoint ended before it answered a request.
     pub(super) fn record_crash(&self, fingerprint: Fingerprint, crash: &Crash) -> Change {
-        let news = self.suspects().record_crash(fingerprint, crash, self.clock().now());
-        match news {
+        let change = self.suspects().record_crash(fingerprint, crash, self.clock().now());
+        match change {
             Change::Quarantined => self.suspects().pending.set(fingerprint, true),
             // Other gateways may know more of it and be unreachable, so the store is read.
             Change::Updated => self.suspects().pending.request_read(),
             Change::Released | Change::None => {}
         }
-        if news != Change::None {
+        if change != Change::None {
             self.publish();
         }
-        news
+        change
     }
 
     /// Records that a request was served.
     fn record_served(&self, fingerprint: Fingerprint) {
-        let news = self.suspects().record_answer(fingerprint, self.clock().now());
-        if news == Change::Released {
+        let change = self.suspects().record_answer(fingerprint, self.clock().now());
+        if change == Change::Released {
             self.suspects().pending.set(fingerprint, false);
         }
-        if news != Change::None {
+        if change != Change::None {
             tracing::info!(%fingerprint, "a suspect request was served");
             self.publish();
         }
@@ -158,10 +158,10 @@
     /// Applies the quarantined requests that were read from the store.
     pub fn apply_stored_quarantine(&self, requests: &[Fingerprint]) {
         let now = self.clock().now();
-        let news = |request: &&Fingerprint| {
+        let is_new = |request: &&Fingerprint| {
             self.suspects().with_table(|table| table.restore_quarantine(**request, now))
         };
-        let found: Vec<_> = requests.iter().filter(news).collect();
+        let found: Vec<_> = requests.iter().filter(is_new).collect();
         for fingerprint in &found {
             tracing::info!(%fingerprint, "a request is quarantined according to the store");
         }
@@ -171,8 +171,8 @@
     }
 
     /// Merges the updates on suspect requests of another gateway.
-    pub fn merge_suspects(&self, told: &[Update]) {
-        let merged = self.suspects().merge(told, self.clock().now());
+    pub fn merge_suspects(&self, updates: &[Update]) {
+        let merged = self.suspects().merge(updates, self.clock().now());
         for fingerprint in &merged.quarantined {
             tracing::info!(%fingerprint, "a request is quarantined according to other gateways");
         }
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -27,9 +27,9 @@
             inner.rollout.merge(rollout);
             match &mut inner.stored_rollout {
                 Some(stored) => {
-                    let news = rollout.newer_than(stored);
+                    let newer = rollout.newer_than(stored);
                     stored.merge(rollout);
-                    inner.timeline.record(&news, age, now)
+                    inner.timeline.record(&newer, age, now)
                 }
                 none => {
                     *none = Some(rollout.clone());
@@ -60,8 +60,8 @@
         let mut inner = self.lock();
         if revision > inner.rollout_revision {
             (inner.rollout_revision, inner.rollout_gossiped_at) = (revision, now);
-            let told = inner.rollout.clone();
-            inner.stored_rollout.get_or_insert(told);
+            let current = inner.rollout.clone();
+            inner.stored_rollout.get_or_insert(current);
         }
     }
 
@@ -75,9 +75,9 @@
     }
 
     /// Applies a change of versions, and publishes them if any version or age changed.
-    fn change_versions(&self, from: &str, learn: impl FnOnce(&mut Inner) -> bool) {
+    fn change_versions(&self, from: &str, change: impl FnOnce(&mut Inner) -> bool) {
         let mut inner = self.lock();
-        if !learn(&mut inner) {
+        if !change(&mut inner) {
             return;
         }
         self.rebuild_view(&mut inner);
--- a/src/cinderspoke/gateway/zones.rs
+++ b/src/cinderspoke/gateway/zones.rs
@@ -15,8 +15,8 @@
 
 impl State {
     /// Replaces the evacuated zones, unless the known ones are newer.
-    pub fn apply_evacuations(&self, told: Fact<BTreeSet<Zone>>, from: &str) {
-        self.change_evacuations(from, |table| table.replace(told));
+    pub fn apply_evacuations(&self, evacuated: Fact<BTreeSet<Zone>>, from: &str) {
+        self.change_evacuations(from, |table| table.replace(evacuated));
     }
 
     /// Applies changes of the evacuated zones.
