--- a/crates/core/src/manifest.rs
+++ b/crates/core/src/manifest.rs
@@ -98,7 +98,7 @@
 
     /// The manifest of weights whose chunks are listed by their SHA-256.
     #[must_use]
-    pub fn listed(chunk_size: Bytes, chunks: Vec<Digest>) -> Self {
+    pub fn from_chunk_digests(chunk_size: Bytes, chunks: Vec<Digest>) -> Self {
         let size = Bytes::new(chunk_size.as_u64().saturating_mul(chunks.len() as u64));
         let mut hasher = Hasher::new(Algorithm::Sha256);
         chunks.iter().for_each(|chunk| hasher.add_hash(chunk));
--- a/crates/core/src/swarm.rs
+++ b/crates/core/src/swarm.rs
@@ -67,11 +67,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Role {
     /// Whether it draws the chunk from the origin at once.
-    pub draws: bool,
+    pub fetches: bool,
     /// After how many times the patience it draws the chunk as a reserve; `None` for never.
-    pub reserve: Option<u32>,
+    pub fallback_after: Option<u32>,
     /// After how many times the patience it brings the chunk in; `None` for never.
-    pub imports: Option<u32>,
+    pub import_after: Option<u32>,
     /// From whom it brings the chunk in, in this order.
     pub sources: Vec<usize>,
 }
@@ -153,10 +153,10 @@
         let mut sources = vec![in_region, drawer];
         sources.extend(reserves.iter().filter_map(|zone| first(&|member| member.zone == *zone)));
         Role {
-            draws: drawer == self.own,
+            fetches: drawer == self.own,
             // The zones step in one after the other, then each zone's next member.
-            reserve: reserve.map(|turn| turn as u32 + 1 + step_in * RESERVE as u32),
-            imports: (zone_rank < IMPORTERS).then_some(zone_rank),
+            fallback_after: reserve.map(|turn| turn as u32 + 1 + step_in * RESERVE as u32),
+            import_after: (zone_rank < IMPORTERS).then_some(zone_rank),
             sources: self.distinct(sources),
         }
     }
--- a/crates/core/src/transfer/choice.rs
+++ b/crates/core/src/transfer/choice.rs
@@ -64,12 +64,12 @@
     /// Where chunks have turns, each is waited for by itself: others may keep
     /// coming while the one that was to draw it stands still.
     fn has_waited(&self, chunk: usize, turns: u32, now: Duration) -> bool {
-        let Limits { spacing, patience, .. } = self.state.limits;
+        let Limits { spacing, fallback_timeout, .. } = self.state.limits;
         let since = match spacing.is_zero() {
             true => self.state.progress,
             false => self.state.started + spacing.saturating_mul(turn(chunk + 1)),
         };
-        now.saturating_sub(since) >= patience.saturating_mul(turns)
+        now.saturating_sub(since) >= fallback_timeout.saturating_mul(turns)
     }
 
     /// A chunk that this instance has to bring into its region or zone, and from whom.
@@ -81,8 +81,8 @@
         }
         let due = |chunk: &usize| {
             let role = &self.state.roles[*chunk];
-            let turn = role.imports.is_some_and(|turns| self.has_waited(*chunk, turns, now));
-            turn && !role.draws
+            let turn = role.import_after.is_some_and(|turns| self.has_waited(*chunk, turns, now));
+            turn && !role.fetches
                 && self.is_due(*chunk, now)
                 && self.holders(*chunk, now).next().is_none()
                 // Whoever is always waiting for a chunk never steps in for it.
@@ -112,7 +112,7 @@
         // Whoever joins late finds chunks nearby that were drawn long ago.
         let near = |chunk: &usize| self.holders(*chunk, now).next().is_some();
         let turn = |chunk: &usize| self.is_due(*chunk, now);
-        let own = |chunk: &usize| self.state.roles[*chunk].draws && turn(chunk) && !near(chunk);
+        let own = |chunk: &usize| self.state.roles[*chunk].fetches && turn(chunk) && !near(chunk);
         self.missing().find(own).map(|chunk| (chunk, Source::Origin))
     }
 
@@ -141,8 +141,8 @@
     /// Whether it is this instance's turn to draw a chunk that has stayed away.
     fn steps_in(&self, chunk: usize, now: Duration) -> bool {
         let Fetching { limits, started, origin_failed, recovery, .. } = &self.state;
-        let Some(turns) = self.state.roles[chunk].reserve else { return false };
-        let Limits { spacing, patience, .. } = *limits;
+        let Some(turns) = self.state.roles[chunk].fallback_after else { return false };
+        let Limits { spacing, fallback_timeout, .. } = *limits;
         // After a failure of the origin, the reserve waits until the origin could have delivered
         // every missing chunk, so that it does not duplicate draws by the assigned instances.
         let began = (*origin_failed).max(recovery.map_or(Duration::ZERO, |recovery| recovery.at));
@@ -154,13 +154,13 @@
             _ => self.state.held.len() - self.state.held.count(),
         };
         let since = began + spacing.saturating_mul(turn(missing));
-        now.saturating_sub(since) >= patience.saturating_mul(turns)
+        now.saturating_sub(since) >= fallback_timeout.saturating_mul(turns)
     }
 
     /// Whether the origin can be asked for one more chunk.
     fn origin_is_open(&self, now: Duration) -> bool {
         now >= self.state.origin_rests_until
-            && self.drawn_from(&Source::Origin) < self.state.limits.origin
+            && self.drawn_from(&Source::Origin) < self.state.limits.origin_downloads
     }
 
     /// A chunk that a neighbour can give, sparing those that have given nearly a
--- a/crates/core/src/transfer/mod.rs
+++ b/crates/core/src/transfer/mod.rs
@@ -20,11 +20,11 @@
 use crate::swarm::{Distance, Role, Swarm};
 
 /// How long a source that failed is left alone, unless a transfer is in more of a hurry.
-pub const PENALTY: Duration = Duration::from_secs(1);
+pub const SOURCE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The most chunks drawn from the origin at once where it does not say how many
 /// connections it takes.
-pub const PER_ORIGIN: usize = 4;
+pub const ORIGIN_DOWNLOADS: usize = 4;
 
 /// By how much each chunk that comes in time lets more be drawn at once.
 const WIDEN: f64 = 0.25;
@@ -128,18 +128,18 @@
     /// The most chunks drawn at once.
     pub downloads: usize,
     /// The most chunks drawn from the origin at once.
-    pub origin: usize,
+    pub origin_downloads: usize,
     /// The time that the origin's link takes for a chunk: each is drawn in its
     /// turn, so that the first ones come to peers early. Zero for no turns.
     pub spacing: Duration,
     /// How long a source that failed is left alone.
-    pub penalty: Duration,
+    pub source_backoff: Duration,
     /// A chunk that takes longer than this tells of a link that carries less
     /// than it should: fewer are drawn at once then, since requests go over it
     /// too. `None` where that is no concern.
-    pub slow: Option<Duration>,
+    pub slow_chunk: Option<Duration>,
     /// How long to wait for those that come first before stepping in.
-    pub patience: Duration,
+    pub fallback_timeout: Duration,
 }
 
 /// The first chunk accepted, from any source, after a failure of the origin.
@@ -215,12 +215,12 @@
             window: limits.downloads as f64,
         };
         let mut transfer = Self { manifest, state };
-        transfer.join(swarm);
+        transfer.set_swarm(swarm);
         transfer
     }
 
     /// Takes in the swarm's members as they are now.
-    pub fn join(&mut self, swarm: Swarm) {
+    pub fn set_swarm(&mut self, swarm: Swarm) {
         let chunks = self.manifest.chunks();
         let state = &mut self.state;
         state.roles = (0..chunks).map(|chunk| role(state.policy, &swarm, chunk)).collect();
@@ -251,12 +251,12 @@
     }
 
     /// Takes in a chunk that is held from elsewhere, such as an older version.
-    pub fn has(&mut self, chunk: usize) {
+    pub fn record_held(&mut self, chunk: usize) {
         self.state.held.insert(chunk);
     }
 
     /// Takes in which chunks a peer holds, and how many bytes it has given.
-    pub fn peer_holds(&mut self, peer: &Instance, held: &Bitmap, given: u64) {
+    pub fn record_peer(&mut self, peer: &Instance, held: &Bitmap, given: u64) {
         if let Some(neighbour) = self.state.peers.get_mut(peer) {
             neighbour.held = held.resized(self.manifest.chunks());
             neighbour.given = given;
@@ -264,7 +264,7 @@
     }
 
     /// Takes in a chunk that arrived, by the digest of its bytes.
-    pub fn arrived(&mut self, chunk: usize, digest: Digest, now: Duration) -> Arrival {
+    pub fn record_chunk(&mut self, chunk: usize, digest: Digest, now: Duration) -> Arrival {
         let flight = self.state.in_flight.remove(&chunk);
         if self.state.held.contains(chunk) || chunk >= self.manifest.chunks() {
             return Arrival::Unwanted;
@@ -283,35 +283,35 @@
     }
 
     /// Takes in that a chunk did not come.
-    pub fn failed(&mut self, chunk: usize, now: Duration) {
+    pub fn record_failure(&mut self, chunk: usize, now: Duration) {
         let flight = self.state.in_flight.remove(&chunk);
         self.penalise(chunk, flight, now);
     }
 
     /// Takes in how long a chunk was on its way that its source held.
-    pub fn took(&mut self, time: Duration) {
-        let Limits { slow, downloads, .. } = self.state.limits;
-        let Some(slow) = slow else { return };
+    pub fn record_download_time(&mut self, time: Duration) {
+        let Limits { slow_chunk, downloads, .. } = self.state.limits;
+        let Some(slow_chunk) = slow_chunk else { return };
         let window = &mut self.state.window;
-        *window = if time > slow { *window / 2.0 } else { *window + WIDEN };
+        *window = if time > slow_chunk { *window / 2.0 } else { *window + WIDEN };
         *window = window.clamp(1.0, downloads as f64);
     }
 
     /// Leaves a source alone for a while; the next one is asked for an awaited chunk.
     fn penalise(&mut self, chunk: usize, flight: Option<Flight>, now: Duration) {
         let Some(Flight { source, awaited }) = flight else { return };
-        let penalty = self.state.limits.penalty;
+        let backoff = self.state.limits.source_backoff;
         if awaited {
             *self.state.failures.entry(chunk).or_default() += 1;
         }
         match source {
             Source::Origin => {
-                self.state.origin_rests_until = now + penalty;
+                self.state.origin_rests_until = now + backoff;
                 self.state.origin_failed = now;
             }
             Source::Peer(peer) => {
                 if let Some(neighbour) = self.state.peers.get_mut(&peer) {
-                    neighbour.rests_until = now + penalty;
+                    neighbour.rests_until = now + backoff;
                 }
             }
         }
@@ -333,12 +333,12 @@
 
 /// What a policy lets an instance do about a chunk.
 fn role(policy: Policy, swarm: &Swarm, chunk: usize) -> Role {
-    let draws = match policy {
+    let fetches = match policy {
         Policy::Swarm => return swarm.role(chunk),
         Policy::OriginOnly => true,
         Policy::Tree => swarm.parent().is_none(),
     };
-    Role { draws, reserve: None, imports: None, sources: Vec::new() }
+    Role { fetches, fallback_after: None, import_after: None, sources: Vec::new() }
 }
 
 /// The peers whose holdings a policy asks for.
--- a/src/cinderspoke/agent/mod.rs
+++ b/src/cinderspoke/agent/mod.rs
@@ -23,7 +23,7 @@
 use axum::extract::DefaultBodyLimit;
 use axum::extract::State;
 use axum::routing::{any, get};
-use cinderspoke_core::transfer::{PENALTY, PER_ORIGIN, Policy};
+use cinderspoke_core::transfer::{ORIGIN_DOWNLOADS, Policy, SOURCE_BACKOFF};
 use cinderspoke_schema::control::{Kind, Peer};
 use cinderspoke_schema::settings;
 use cinderspoke_types::digest::Digest;
@@ -231,9 +231,9 @@
         policy,
         link_rate: settings.link_rate,
         limit: settings.downloads.get() as usize,
-        origin_limit: PER_ORIGIN,
+        origin_limit: ORIGIN_DOWNLOADS,
         origin_spacing: Duration::ZERO,
-        penalty: PENALTY,
+        penalty: SOURCE_BACKOFF,
         times: fetch::Times::default(),
         slow: None,
         link: Arc::default(),
--- a/src/cinderspoke/agent/transfer.rs
+++ b/src/cinderspoke/agent/transfer.rs
@@ -133,7 +133,9 @@
     let now = context.clock.now();
     let limits = limits(&context, &manifest, members.borrow().origin_weight);
     let mut transfer = Transfer::new(manifest, swarm, context.policy, limits, now);
-    (0..held.len()).filter(|chunk| held.contains(*chunk)).for_each(|chunk| transfer.has(chunk));
+    (0..held.len())
+        .filter(|chunk| held.contains(*chunk))
+        .for_each(|chunk| transfer.record_held(chunk));
     draw(&context, &mut transfer, members).await;
     let manifest = transfer.manifest().digest();
     let chunks = context.shelf.whole(manifest).context("chunks were dropped before loading")?;
@@ -145,11 +147,11 @@
 fn limits(context: &Context, manifest: &Manifest, origin_weight: f64) -> Limits {
     Limits {
         downloads: context.limit,
-        origin: context.origin_limit,
+        origin_downloads: context.origin_limit,
         spacing: context.origin_spacing,
-        penalty: context.penalty,
-        slow: context.slow,
-        patience: patience(context, manifest, origin_weight),
+        source_backoff: context.penalty,
+        slow_chunk: context.slow,
+        fallback_timeout: patience(context, manifest, origin_weight),
     }
 }
 
@@ -222,7 +224,7 @@
             Some(held) = holdings.recv() => hear(transfer, &held),
             Ok(()) = members.changed() => {
                 let swarm = members.borrow_and_update().swarm(transfer.manifest().digest());
-                transfer.join(swarm);
+                transfer.set_swarm(swarm);
                 followers.follow(transfer);
             }
             _ = ticks.tick() => {}
@@ -232,7 +234,7 @@
 
 /// Takes in what a peer holds.
 fn hear(transfer: &mut Transfer<Fetching>, held: &Held) {
-    transfer.peer_holds(&held.peer, &held.chunks, held.given);
+    transfer.record_peer(&held.peer, &held.chunks, held.given);
 }
 
 /// Lets neighbours say what they hold, so that nothing is drawn from afar that is near.
@@ -257,7 +259,7 @@
     let Drawn { chunk, source, result, took, observation } = drawn;
     let now = context.clock.now();
     if let Some(took) = took {
-        transfer.took(took);
+        transfer.record_download_time(took);
     }
     context.link.lock().unwrap_or_else(PoisonError::into_inner).observe(observation, now);
     let label = match &source {
@@ -268,12 +270,12 @@
         Ok(chunk) => chunk,
         Err(error) => {
             tracing::debug!(chunk, ?source, error = format!("{error:#}"), "drawing a chunk");
-            return transfer.failed(chunk, now);
+            return transfer.record_failure(chunk, now);
         }
     };
     counter!(DRAWN, "source" => label).increment(bytes.len() as u64);
     tracing::debug!(chunk, ?source, "chunk arrived");
-    match transfer.arrived(chunk, digest, now) {
+    match transfer.record_chunk(chunk, digest, now) {
         Arrival::Accepted => context.shelf.put(digest, bytes),
         Arrival::Unwanted => {}
         Arrival::Corrupt => {
--- a/src/cinderspoke/stager/listings.rs
+++ b/src/cinderspoke/stager/listings.rs
@@ -158,7 +158,7 @@
 /// A listing as transfers use it.
 fn manifest(listing: &Listing) -> Manifest {
     let digests = listing.digests.iter().copied().map(Digest::new).collect();
-    Manifest::listed(size::Bytes::new(listing.chunk_bytes), digests)
+    Manifest::from_chunk_digests(size::Bytes::new(listing.chunk_bytes), digests)
 }
 
 /// Which listing another agent asks for, and how long it waits.
--- a/tests/testsuite/origin_outage.rs
+++ b/tests/testsuite/origin_outage.rs
@@ -46,7 +46,7 @@
 }
 
 fn limits() -> Limits {
-    Limits { spacing: SPACING, patience: PATIENCE, slow: None, ..turns::limits() }
+    Limits { spacing: SPACING, fallback_timeout: PATIENCE, slow_chunk: None, ..turns::limits() }
 }
 
 /// A request for a chunk from a peer.
@@ -75,7 +75,8 @@
 
 impl Simulation {
     fn new(seed: usize, offline: usize) -> Self {
-        let manifest = Manifest::listed(size::Bytes::new(64), (0..CHUNKS).map(chunk).collect());
+        let manifest =
+            Manifest::from_chunk_digests(size::Bytes::new(64), (0..CHUNKS).map(chunk).collect());
         let transfer = |number: usize| {
             let mut peers: Vec<_> = (0..AGENTS).map(|number| peer(seed, number)).collect();
             let swarm = Swarm::new(manifest.digest(), peers.remove(number), peers);
@@ -95,11 +96,11 @@
 
     /// Delivers a chunk to an agent and updates its peers.
     fn deliver(&mut self, agent: usize, number: usize, now: Duration) {
-        self.transfers[agent].arrived(number, chunk(number), now);
+        self.transfers[agent].record_chunk(number, chunk(number), now);
         self.held[agent].insert(number);
         let holder = peer(self.seed, agent).instance;
         for other in (0..AGENTS).filter(|other| *other != agent) {
-            self.transfers[other].peer_holds(&holder, &self.held[agent], 0);
+            self.transfers[other].record_peer(&holder, &self.held[agent], 0);
         }
     }
 
@@ -107,7 +108,7 @@
     fn serve_origin(&mut self, outage: bool, now: Duration) {
         if outage {
             for (agent, chunk) in std::mem::take(&mut self.origin_queue) {
-                self.transfers[agent].failed(chunk, now);
+                self.transfers[agent].record_failure(chunk, now);
             }
         }
         if now < self.next_origin_delivery {
@@ -134,7 +135,7 @@
             } else if holds {
                 self.deliver(agent, chunk, now);
             } else {
-                self.transfers[agent].failed(chunk, now);
+                self.transfers[agent].record_failure(chunk, now);
             }
         }
     }
@@ -144,7 +145,7 @@
         loop {
             let (chunk, peer, timeout) = match self.transfers[agent].step(now) {
                 Step::Fetch { chunk, source: Source::Origin } if outage => {
-                    self.transfers[agent].failed(chunk, now);
+                    self.transfers[agent].record_failure(chunk, now);
                     continue;
                 }
                 Step::Fetch { chunk, source: Source::Origin } => {
--- a/tests/testsuite/silent_peer.rs
+++ b/tests/testsuite/silent_peer.rs
@@ -53,7 +53,7 @@
 
 pub(crate) fn manifest() -> Manifest {
     let digests = (0..CHUNKS).map(|number| Algorithm::Sha256.chunk(&chunk(number)));
-    Manifest::listed(size::Bytes::new(64), digests.collect())
+    Manifest::from_chunk_digests(size::Bytes::new(64), digests.collect())
 }
 
 pub(crate) fn member(name: &str, address: SocketAddr) -> Peer {
--- a/tests/testsuite/turns.rs
+++ b/tests/testsuite/turns.rs
@@ -21,7 +21,7 @@
 
 fn manifest() -> Manifest {
     let digests = (0..CHUNKS).map(|number| Algorithm::Sha256.chunk(&chunk(number)));
-    Manifest::listed(size::Bytes::new(64), digests.collect())
+    Manifest::from_chunk_digests(size::Bytes::new(64), digests.collect())
 }
 
 pub(crate) fn peer(number: usize, zone: &str) -> Peer {
@@ -36,11 +36,11 @@
 pub(crate) fn limits() -> Limits {
     Limits {
         downloads: 6,
-        origin: 1,
+        origin_downloads: 1,
         spacing: SPACING,
-        patience: PATIENCE,
-        penalty: Duration::from_millis(250),
-        slow: Some(Duration::from_millis(600)),
+        fallback_timeout: PATIENCE,
+        source_backoff: Duration::from_millis(250),
+        slow_chunk: Some(Duration::from_millis(600)),
     }
 }
 
@@ -74,7 +74,7 @@
         panic!("the only instance draws the first chunk at once");
     };
     assert_eq!(first, 0);
-    alone.arrived(0, Algorithm::Sha256.chunk(&chunk(0)), SPACING / 2);
+    alone.record_chunk(0, Algorithm::Sha256.chunk(&chunk(0)), SPACING / 2);
     assert!(steps(&mut alone, SPACING / 2).is_empty(), "the second chunk has its turn later");
     assert_eq!(steps(&mut alone, SPACING).len(), 1);
 }
@@ -83,16 +83,16 @@
 fn whoever_starts_late_does_not_wait_for_turns_that_are_over() {
     let mut late = transfer(&["a"], 2);
     // The first chunk is in its turn for whoever starts.
-    late.has(0);
+    late.record_held(0);
     let neighbour = peer(1, "a").instance;
     let mut held = Bitmap::new(CHUNKS);
     held.insert(CHUNKS - 1);
-    late.peer_holds(&neighbour, &held, 0);
+    late.record_peer(&neighbour, &held, 0);
     let drawn = steps(&mut late, Duration::from_millis(1));
     let from_origin = |step: &&Step| matches!(step, Step::Fetch { source: Source::Origin, .. });
     assert_eq!(drawn.iter().filter(from_origin).count(), 1, "{drawn:?}");
     let Some(Step::Fetch { chunk, .. }) = drawn.iter().find(from_origin) else { unreachable!() };
-    late.failed(*chunk, Duration::from_millis(1));
+    late.record_failure(*chunk, Duration::from_millis(1));
 }
 
 #[test]
@@ -129,16 +129,16 @@
                     if source == Source::Origin {
                         drawn.push(number);
                     }
-                    member.arrived(number, Algorithm::Sha256.chunk(&chunk(number)), now);
+                    member.record_chunk(number, Algorithm::Sha256.chunk(&chunk(number)), now);
                 }
                 // The neighbour never answers.
-                Step::Await { chunk, .. } => member.failed(chunk, now),
+                Step::Await { chunk, .. } => member.record_failure(chunk, now),
                 Step::Wait | Step::Complete => {}
             }
         }
         // A trickle of other news keeps the transfer in progress.
         held.insert(usize::try_from(turn).unwrap() % 2);
-        member.peer_holds(&neighbour, &held, 0);
+        member.record_peer(&neighbour, &held, 0);
     }
     assert_eq!(member.step(Duration::from_secs(5)), Step::Complete, "drawn: {drawn:?}");
 }
@@ -148,12 +148,12 @@
     let draws = |slow: bool| {
         let mut member = transfer(&["a"], 7);
         if slow {
-            (0..4).for_each(|_| member.took(Duration::from_millis(900)));
+            (0..4).for_each(|_| member.record_download_time(Duration::from_millis(900)));
         }
         let mut held = Bitmap::new(CHUNKS);
         (0..CHUNKS).for_each(|number| held.insert(number));
         for number in 1..7 {
-            member.peer_holds(&peer(number, "a").instance, &held, 0);
+            member.record_peer(&peer(number, "a").instance, &held, 0);
         }
         steps(&mut member, Duration::ZERO).len()
     };
@@ -164,12 +164,12 @@
 #[test]
 fn a_link_that_recovers_carries_as_much_as_before() {
     let mut member = transfer(&["a"], 7);
-    (0..4).for_each(|_| member.took(Duration::from_millis(900)));
-    (0..20).for_each(|_| member.took(Duration::from_millis(100)));
+    (0..4).for_each(|_| member.record_download_time(Duration::from_millis(900)));
+    (0..20).for_each(|_| member.record_download_time(Duration::from_millis(100)));
     let mut held = Bitmap::new(CHUNKS);
     (0..CHUNKS).for_each(|number| held.insert(number));
     for number in 1..7 {
-        member.peer_holds(&peer(number, "a").instance, &held, 0);
+        member.record_peer(&peer(number, "a").instance, &held, 0);
     }
     assert_eq!(steps(&mut member, Duration::ZERO).len(), 6);
 }
@@ -221,11 +221,15 @@
     }
 
     fn arrives(&mut self, instance: usize, chunk: usize, now: Duration) {
-        self.transfers[instance].arrived(chunk, Algorithm::Sha256.chunk(&self::chunk(chunk)), now);
+        self.transfers[instance].record_chunk(
+            chunk,
+            Algorithm::Sha256.chunk(&self::chunk(chunk)),
+            now,
+        );
         self.held[instance].insert(chunk);
         let holder = peer(instance, "a").instance;
         for other in (0..self.transfers.len()).filter(|other| *other != instance) {
-            self.transfers[other].peer_holds(&holder, &self.held[instance], 0);
+            self.transfers[other].record_peer(&holder, &self.held[instance], 0);
         }
     }
 
@@ -235,7 +239,7 @@
             for step in steps(&mut self.transfers[instance], now) {
                 match step {
                     Step::Fetch { chunk, source: Source::Origin } if away => {
-                        self.transfers[instance].failed(chunk, now);
+                        self.transfers[instance].record_failure(chunk, now);
                     }
                     Step::Fetch { chunk, source: Source::Origin } => {
                         self.drawn += 1;
@@ -243,7 +247,9 @@
                     }
                     Step::Fetch { chunk, .. } => self.arrives(instance, chunk, now),
                     // Nobody waits until others have a chunk, so that they are asked anew.
-                    Step::Await { chunk, .. } => self.transfers[instance].failed(chunk, now),
+                    Step::Await { chunk, .. } => {
+                        self.transfers[instance].record_failure(chunk, now);
+                    }
                     Step::Wait | Step::Complete => {}
                 }
             }
