--- a/crates/bench/src/commands/slopes.rs
+++ b/crates/bench/src/commands/slopes.rs
@@ -112,7 +112,7 @@
     };
     let mut coordinator = Coordinator::new(settings);
     for member in members {
-        coordinator.on(Event::Heartbeat(heartbeat(member)), Duration::ZERO);
+        coordinator.handle(Event::Heartbeat(heartbeat(member)), Duration::ZERO);
     }
     coordinator
 }
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -16,7 +16,7 @@
 /// What becomes of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// It is taken in; [`Gate::finish`] is due when it ends.
+    /// It is taken in; [`Limiter::finish`] is due when it ends.
     Admit,
     /// It is refused and has not run.
     Refuse {
@@ -80,12 +80,12 @@
 
 /// The limits of an entry instance, with what they count.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct Limiter {
     teams: BTreeMap<Team, Bucket>,
     services: BTreeMap<Service, Lane>,
 }
 
-impl Gate {
+impl Limiter {
     /// Takes in a configuration's limits, keeping what is counted.
     pub fn configure(&mut self, configuration: &Configuration, now: Duration) {
         let limited = configuration.teams.values().filter_map(|team| {
--- a/crates/core/src/configuration/check.rs
+++ b/crates/core/src/configuration/check.rs
@@ -6,7 +6,7 @@
 use cinderspoke_schema::operator::{File, Kind, Model, Service};
 use cinderspoke_schema::text;
 
-use super::{Configuration, DEFAULT_ORIGIN_WEIGHT, MAX_FILE};
+use super::{Configuration, DEFAULT_ORIGIN_WEIGHT, MAX_FILE_BYTES};
 use crate::document::Document;
 
 /// A file that fits its schema, with the places of its values.
@@ -55,9 +55,9 @@
         if !seen.insert(&part.name) {
             add(&part.name, "the file is given twice".into(), "each file once");
         }
-        if part.text.len() > MAX_FILE {
+        if part.text.len() > MAX_FILE_BYTES {
             let what = format!("the file has {} bytes", part.text.len());
-            add(&part.name, what, &format!("at most {MAX_FILE} bytes in one file"));
+            add(&part.name, what, &format!("at most {MAX_FILE_BYTES} bytes in one file"));
         }
     }
     findings
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -13,7 +13,7 @@
 pub use diff::{Change, changes};
 
 /// The largest file that fits into one object of the platform, in bytes.
-pub const MAX_FILE: usize = 1_000_000;
+pub const MAX_FILE_BYTES: usize = 1_000_000;
 
 /// What counts when no file says how to weigh time against origin bytes.
 pub const DEFAULT_ORIGIN_WEIGHT: f64 = 0.5;
@@ -71,7 +71,7 @@
 
 /// How many replicas keep answering during a planned change of a service.
 #[must_use]
-pub fn minimum(service: &operator::Service) -> u32 {
+pub fn min_live_replicas(service: &operator::Service) -> u32 {
     service.minimum.unwrap_or_else(|| service.replicas.get().saturating_sub(1).max(1))
 }
 
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -21,11 +21,11 @@
 use serde::de::DeserializeOwned;
 
 use crate::configuration::Configuration;
+use crate::drain;
 use crate::lease::{self, Candidate};
 use crate::member::{Health, Table, Verdict};
 use crate::object::{self, Expect, Object};
 use crate::placement::{Placements, place};
-use crate::turn;
 
 pub use self::event::{Action, Event, Write};
 
@@ -115,7 +115,7 @@
     }
 
     /// The newest sum of each zone's members, as its lease's holder wrote it.
-    pub fn sums(&self) -> impl Iterator<Item = &Members> {
+    pub fn members_by_zone(&self) -> impl Iterator<Item = &Members> {
         self.members.values().map(|members| &members.value)
     }
 
@@ -145,12 +145,12 @@
             root: newer.map(|active| active.root.clone()),
             parts: newer.map(|active| active.parts.clone()).unwrap_or_default(),
             plans: self.plans().cloned().collect(),
-            members: self.sums().cloned().collect(),
+            members: self.members_by_zone().cloned().collect(),
         }
     }
 
     /// Takes in an event and says what to do next.
-    pub fn on(&mut self, event: Event, now: Duration) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event, now: Duration) -> Vec<Action> {
         match event {
             Event::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat, now),
             Event::Objects(objects) => {
@@ -159,7 +159,7 @@
             Event::Parts(root, parts) => self.on_parts(root, parts, now),
             Event::Relay(state) => self.on_relay(state),
             Event::Leaving(instances) => {
-                self.table.leaving(instances);
+                self.table.set_leaving(instances);
                 vec![Action::Publish]
             }
             Event::Written { write, revision, sent } => self.on_written(write, revision, sent, now),
@@ -172,7 +172,7 @@
     }
 
     fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: Duration) -> Vec<Action> {
-        match self.table.heard(heartbeat, now) {
+        match self.table.apply_heartbeat(heartbeat, now) {
             Verdict::Accepted => vec![Action::Publish],
             Verdict::Stale => Vec::new(),
         }
@@ -310,7 +310,7 @@
             if write.key == key
                 && let Some(lease) = read::<Lease>(&write.value)
             {
-                self.lease(which).written(revision, lease, sent);
+                self.lease(which).record_write(revision, lease, sent);
                 return Vec::new();
             }
         }
@@ -318,7 +318,7 @@
     }
 
     fn on_tick(&mut self, now: Duration) -> Vec<Action> {
-        self.table.sweep(now);
+        self.table.remove_dead(now);
         let mut actions = vec![Action::Publish];
         if let Some(root) = &self.pending {
             actions.push(Action::ReadParts(root.clone()));
@@ -379,7 +379,7 @@
             self.members.values().flat_map(|sum| sum.value.members.iter().cloned()).collect();
         let previous = self.placements();
         let mut placements = place(&active.configuration, &members, &previous);
-        turn::grant(&active.configuration, &members, &previous, &mut placements);
+        drain::grant(&active.configuration, &members, &previous, &mut placements);
         let changed = placements.into_iter().filter_map(|(zone, placements)| {
             self.next_plan(term, active.root.generation, zone, placements)
         });
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -9,7 +9,7 @@
 use cinderspoke_schema::control::{Member, Phase, Placement, Replica};
 use cinderspoke_types::id::{Instance, Service};
 
-use crate::configuration::{Configuration, minimum};
+use crate::configuration::{Configuration, min_live_replicas};
 use crate::placement::Placements;
 
 /// Marks the replicas that may drain, given who may already.
@@ -33,7 +33,7 @@
         }
         let answering =
             placed.iter().filter(|placed| !placed.may_drain && answers(&members, placed));
-        let mut budget = answering.count().saturating_sub(minimum(service) as usize);
+        let mut budget = answering.count().saturating_sub(min_live_replicas(service) as usize);
         for placed in placed.iter_mut().filter(|placed| waits(&members, placed)) {
             if budget > 0 && !placed.may_drain {
                 placed.may_drain = true;
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -75,7 +75,7 @@
     /// Takes in a write of this instance's own that took effect.
     ///
     /// `sent` is when the write was sent: the lease counts from then.
-    pub fn written(&mut self, revision: Revision, lease: Lease, sent: Duration) {
+    pub fn record_write(&mut self, revision: Revision, lease: Lease, sent: Duration) {
         let term = lease.term;
         self.observe(revision, lease, sent);
         if self.seen.as_ref().is_some_and(|seen| seen.revision == revision) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,7 +8,7 @@
 //! - What is to run: [`document`] and [`configuration`] turn operators' files
 //!   into a checked [`configuration::Configuration`] or a list of findings.
 //! - Where it runs: [`member`] keeps who is there, [`placement`] lays replicas
-//!   on instances, [`turn`] says which of them may drain, [`lease`] who may
+//!   on instances, [`drain`] says which of them may drain, [`lease`] who may
 //!   write the plan.
 //! - Who keeps it: [`coordinator`] is the control state of an entry instance,
 //!   [`change`] decides what becomes of an operator's change.
@@ -23,6 +23,7 @@
 pub mod configuration;
 pub mod coordinator;
 pub mod document;
+pub mod drain;
 pub mod gateway;
 pub mod lease;
 pub mod manifest;
@@ -35,4 +36,3 @@
 pub mod route;
 pub mod swarm;
 pub mod transfer;
-pub mod turn;
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -60,7 +60,7 @@
     }
 
     /// Takes in a heartbeat.
-    pub fn heard(&mut self, heartbeat: Heartbeat, now: Duration) -> Verdict {
+    pub fn apply_heartbeat(&mut self, heartbeat: Heartbeat, now: Duration) -> Verdict {
         let Heartbeat { member, sequence, .. } = heartbeat;
         let order = |record: &Record| (record.member.incarnation, record.sequence);
         let known = self.records.get(&member.instance).map(order);
@@ -84,7 +84,7 @@
     }
 
     /// Takes in the platform's list of leaving instances.
-    pub fn leaving(&mut self, instances: impl IntoIterator<Item = Instance>) {
+    pub fn set_leaving(&mut self, instances: impl IntoIterator<Item = Instance>) {
         self.leaving = instances.into_iter().collect();
     }
 
@@ -96,7 +96,7 @@
 
     /// Forgets instances that are dead, unless so many fell silent at once
     /// that this process itself is more likely cut off.
-    pub fn sweep(&mut self, now: Duration) {
+    pub fn remove_dead(&mut self, now: Duration) {
         if self.is_isolated(now) {
             return;
         }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -5,7 +5,7 @@
 use cinderspoke_schema::operator::{Call, Service};
 
 /// The most attempts at one request, the first among them.
-pub const ATTEMPTS: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// What became of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -65,22 +65,22 @@
     /// Try another replica.
     Retry,
     /// Tell the caller this.
-    Tell(Outcome),
+    Respond(Outcome),
 }
 
 /// Decides what follows a failed attempt.
 ///
 /// `lost` tells whether any earlier attempt, or this one, may have run.
 #[must_use]
-pub fn after(failure: Failure, lost: bool, attempts: u32, repeat: Repeat) -> Next {
+pub fn after_failure(failure: Failure, lost: bool, attempts: u32, repeat: Repeat) -> Next {
     let may_have_run = lost || failure == Failure::Lost;
     if may_have_run && repeat == Repeat::Forbidden {
-        return Next::Tell(Outcome::Unknown);
+        return Next::Respond(Outcome::Unknown);
     }
-    if attempts < ATTEMPTS {
+    if attempts < MAX_ATTEMPTS {
         return Next::Retry;
     }
-    Next::Tell(if may_have_run { Outcome::Unknown } else { Outcome::NotRun })
+    Next::Respond(if may_have_run { Outcome::Unknown } else { Outcome::NotRun })
 }
 
 /// Whether a service's rules allow a call to be repeated.
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -102,13 +102,13 @@
     }
 
     /// Takes in weights that the engine reports as loaded whole, at the start.
-    pub fn found(&mut self, weights: Weights) {
+    pub fn restore_loaded(&mut self, weights: Weights) {
         let manifest = weights.manifest;
         self.held.insert(manifest, Held { weights, stage: Stage::Loaded });
     }
 
     /// Takes in the orders of a plan.
-    pub fn ordered(&mut self, fence: Fence, orders: &[Order]) -> Verdict {
+    pub fn apply_orders(&mut self, fence: Fence, orders: &[Order]) -> Verdict {
         if fence < self.fence {
             return Verdict::Stale;
         }
@@ -136,37 +136,37 @@
     }
 
     /// Takes in that weights have been verified whole.
-    pub fn verified(&mut self, manifest: Digest) {
+    pub fn record_verified(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Fetching, Stage::Verified);
     }
 
     /// Takes in that weights could not be collected: they will be tried anew.
-    pub fn fetch_failed(&mut self, manifest: Digest) {
+    pub fn record_fetch_failure(&mut self, manifest: Digest) {
         self.held.retain(|digest, held| *digest != manifest || held.stage != Stage::Fetching);
     }
 
     /// Takes in that the engine has loaded weights whole.
-    pub fn loaded(&mut self, manifest: Digest) {
+    pub fn record_loaded(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Loading, Stage::Loaded);
     }
 
     /// Takes in that the engine did not load weights: they will be ordered anew.
-    pub fn load_failed(&mut self, manifest: Digest) {
+    pub fn record_load_failure(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Loading, Stage::Verified);
     }
 
     /// Takes in that no request uses weights any more.
-    pub fn drained(&mut self, manifest: Digest) {
+    pub fn record_drained(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Draining, Stage::Drained);
     }
 
     /// Takes in that the engine did not unload weights: it will be ordered anew.
-    pub fn unload_failed(&mut self, manifest: Digest) {
+    pub fn record_unload_failure(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Unloading, Stage::Drained);
     }
 
     /// Takes in that the engine has unloaded weights.
-    pub fn unloaded(&mut self, manifest: Digest) {
+    pub fn record_unloaded(&mut self, manifest: Digest) {
         self.held.retain(|digest, held| *digest != manifest || held.stage != Stage::Unloading);
     }
 
--- a/src/cinderspoke/agent/control.rs
+++ b/src/cinderspoke/agent/control.rs
@@ -163,7 +163,10 @@
         loop {
             match engine.inventory().await {
                 Ok(inventory) => {
-                    inventory.loaded.into_values().for_each(|weights| self.replicas.found(weights));
+                    inventory
+                        .loaded
+                        .into_values()
+                        .for_each(|weights| self.replicas.restore_loaded(weights));
                     return;
                 }
                 Err(error) => tracing::warn!(%error, "asking the engine what it holds"),
@@ -178,24 +181,24 @@
             Message::Reply(reply) => self.on_reply(reply),
             Message::Verified(manifest) => {
                 self.transfers.remove(&manifest);
-                self.replicas.verified(manifest);
+                self.replicas.record_verified(manifest);
             }
             Message::NotVerified(manifest) => {
                 self.transfers.remove(&manifest);
                 self.parts.shared.shelf.close(manifest);
-                self.replicas.fetch_failed(manifest);
+                self.replicas.record_fetch_failure(manifest);
             }
             Message::Loaded(manifest) => {
                 self.parts.shared.shelf.spare(manifest);
-                self.replicas.loaded(manifest);
+                self.replicas.record_loaded(manifest);
             }
-            Message::NotLoaded(manifest) => self.replicas.load_failed(manifest),
-            Message::Drained(manifest) => self.replicas.drained(manifest),
+            Message::NotLoaded(manifest) => self.replicas.record_load_failure(manifest),
+            Message::Drained(manifest) => self.replicas.record_drained(manifest),
             Message::Unloaded(manifest) => {
                 self.parts.shared.shelf.close(manifest);
-                self.replicas.unloaded(manifest);
+                self.replicas.record_unloaded(manifest);
             }
-            Message::NotUnloaded(manifest) => self.replicas.unload_failed(manifest),
+            Message::NotUnloaded(manifest) => self.replicas.record_unload_failure(manifest),
         }
         let steps = self.replicas.steps();
         self.show_serving();
@@ -220,7 +223,7 @@
         if reply.fence == Fence::default() {
             return;
         }
-        if self.replicas.ordered(reply.fence, &reply.orders) == Verdict::Stale {
+        if self.replicas.apply_orders(reply.fence, &reply.orders) == Verdict::Stale {
             return;
         }
         if let Some(roster) = reply.roster {
--- a/src/cinderspoke/entry/callers/attempt.rs
+++ b/src/cinderspoke/entry/callers/attempt.rs
@@ -79,9 +79,9 @@
         counter!(ATTEMPTS, "result" => label(failure)).increment(1);
         reason = format!("{}: {why}", target.instance);
         lost |= failure == Failure::Lost;
-        match outcome::after(failure, lost, attempts, understood.repeat) {
+        match outcome::after_failure(failure, lost, attempts, understood.repeat) {
             Next::Retry => {}
-            Next::Tell(_) => break,
+            Next::Respond(_) => break,
         }
     }
     if lost {
--- a/src/cinderspoke/entry/callers/mod.rs
+++ b/src/cinderspoke/entry/callers/mod.rs
@@ -15,7 +15,7 @@
 use axum::body::Body;
 use axum::extract::State;
 use axum::response::{IntoResponse, Response};
-use cinderspoke_core::admission::{Decision, Gate};
+use cinderspoke_core::admission::{Decision, Limiter};
 use cinderspoke_core::outcome::{Outcome, Repeat};
 use cinderspoke_types::counter::Generation;
 use cinderspoke_types::id::{Instance, Service};
@@ -85,7 +85,7 @@
 /// The limits, and the generation that they were taken from.
 #[derive(Default)]
 struct Limits {
-    gate: Gate,
+    gate: Limiter,
     generation: Generation,
 }
 
--- a/src/cinderspoke/entry/control.rs
+++ b/src/cinderspoke/entry/control.rs
@@ -172,7 +172,7 @@
     fn take(&mut self, message: Message) -> bool {
         match message {
             Message::Event(event) => {
-                let actions = self.coordinator.on(event, self.clock.now());
+                let actions = self.coordinator.handle(event, self.clock.now());
                 // Every action is carried out, whatever the ones before it gave.
                 let stale: Vec<bool> = actions.into_iter().map(|action| self.act(action)).collect();
                 stale.contains(&true)
--- a/src/cinderspoke/entry/view.rs
+++ b/src/cinderspoke/entry/view.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-use cinderspoke_core::configuration::{DEFAULT_ORIGIN_WEIGHT, minimum};
+use cinderspoke_core::configuration::{DEFAULT_ORIGIN_WEIGHT, min_live_replicas};
 use cinderspoke_core::coordinator::{Active, Coordinator};
 use cinderspoke_core::member::Health;
 use cinderspoke_core::rendezvous::Key;
@@ -131,7 +131,7 @@
         Self {
             swarms: swarms(&plans, &members),
             orders: plans.get(&place.zone).map(orders).unwrap_or_default(),
-            sums: coordinator.sums().cloned().collect(),
+            sums: coordinator.members_by_zone().cloned().collect(),
             is_planner: coordinator.is_planner(now),
             routes: routes.unwrap_or_default(),
             active,
@@ -291,7 +291,7 @@
 /// Turning to the first replica that has switched would send it the requests
 /// of all the others.
 fn keep_best(route: &mut Route) {
-    let enough = minimum(&route.service) as usize;
+    let enough = min_live_replicas(&route.service) as usize;
     let targets = &mut route.targets;
     if targets.iter().any(|target| target.health == Health::Alive) {
         targets.retain(|target| target.health == Health::Alive);
--- a/tests/testsuite/decisions.rs
+++ b/tests/testsuite/decisions.rs
@@ -73,7 +73,7 @@
                 Event::Relay(RelayState { generation, root, parts, plans, members: Vec::new() })
             };
             let relayed = matches!(event, Event::Relay(_));
-            coordinator.on(event, Duration::ZERO);
+            coordinator.handle(event, Duration::ZERO);
             // The naive version: the largest that came.
             generation = generation.max(root.generation);
             fence = if relayed { fence.max(newest.fence) } else { fence };
@@ -89,7 +89,7 @@
     let mut coordinator = coordinator();
     let (root, _) = configuration(2);
     let (_, other_files) = configuration(3);
-    coordinator.on(Event::Parts(root, other_files), Duration::ZERO);
+    coordinator.handle(Event::Parts(root, other_files), Duration::ZERO);
     assert_eq!(coordinator.generation(), Generation::default());
 }
 
@@ -119,13 +119,13 @@
     for step in steps {
         let works = reliable || random.random_bool(0.7);
         match (step, works) {
-            (Step::Fetch(weights), true) => replicas.verified(weights.manifest),
-            (Step::Fetch(weights), false) => replicas.fetch_failed(weights.manifest),
-            (Step::Load { weights, .. }, true) => replicas.loaded(weights.manifest),
-            (Step::Load { weights, .. }, false) => replicas.load_failed(weights.manifest),
-            (Step::Drain(manifest), _) => replicas.drained(manifest),
-            (Step::Unload { manifest, .. }, true) => replicas.unloaded(manifest),
-            (Step::Unload { manifest, .. }, false) => replicas.unload_failed(manifest),
+            (Step::Fetch(weights), true) => replicas.record_verified(weights.manifest),
+            (Step::Fetch(weights), false) => replicas.record_fetch_failure(weights.manifest),
+            (Step::Load { weights, .. }, true) => replicas.record_loaded(weights.manifest),
+            (Step::Load { weights, .. }, false) => replicas.record_load_failure(weights.manifest),
+            (Step::Drain(manifest), _) => replicas.record_drained(manifest),
+            (Step::Unload { manifest, .. }, true) => replicas.record_unloaded(manifest),
+            (Step::Unload { manifest, .. }, false) => replicas.record_unload_failure(manifest),
             (Step::Abandon(_), _) => {}
         }
     }
@@ -153,7 +153,7 @@
             }
             let orders: Vec<_> =
                 wanted.iter().map(|(service, version)| order(service, version)).collect();
-            replicas.ordered(Fence::new(fence), &orders);
+            replicas.apply_orders(Fence::new(fence), &orders);
             if fence > naive.0 {
                 naive = (fence, wanted);
             }
@@ -224,7 +224,7 @@
             object = Some((revision, lease.clone()));
             let holder = holders.entry(lease.term).or_insert_with(|| lease.holder.to_string());
             assert_eq!(*holder, lease.holder.to_string(), "seed {seed}");
-            candidate.written(revision, lease, now);
+            candidate.record_write(revision, lease, now);
         }
     }
 }
--- a/tests/testsuite/files.rs
+++ b/tests/testsuite/files.rs
@@ -55,7 +55,7 @@
 #[test]
 fn a_file_given_twice_or_too_large_is_a_finding() {
     let mut large = read("whole.toml");
-    large.text.push_str(&"#".repeat(cinderspoke_core::configuration::MAX_FILE));
+    large.text.push_str(&"#".repeat(cinderspoke_core::configuration::MAX_FILE_BYTES));
     assert_report("twice", &[read("whole.toml"), large]);
 }
 
