--- a/crates/bench/src/soak/caller.rs
+++ b/crates/bench/src/soak/caller.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use cinderspoke_stand_ins::request::{
-    Question, READY, Size, answered, come_back, is_of_leaving, question, signed_by,
+    ModelRequest, READY, Size, is_draining, model_request, request_id, retry_after, signed_by,
     without_versions,
 };
 use cinderspoke_test_support::oracle::attempt::{Attempt, End, Kind};
@@ -191,10 +191,10 @@
     };
     let end = match timeout(patience, exchange).await {
         Ok(Ok((status, headers, Some(body)))) => {
-            if let Some(endpoint) = signed_by(&headers).filter(|_| is_of_leaving(&headers)) {
+            if let Some(endpoint) = signed_by(&headers).filter(|_| is_draining(&headers)) {
                 shared.oracle.says_that_it_leaves(endpoint, gateway);
             }
-            told = come_back(&headers);
+            told = retry_after(&headers);
             checked(&id, &path, status, &headers, &body)
         }
         Ok(Ok((_, _, None))) => End::Cut,
@@ -212,8 +212,8 @@
 
 fn request(id: &str, path: &str, key: &str, size: Size) -> http::Result<Request<Full<Bytes>>> {
     let head = Request::post(path).header(HOST_HEADER, HOST);
-    let asked = Question { id, wait: TIMEOUT, key, model: MODEL, size };
-    question(head, &asked).body(Full::from(body(id)))
+    let asked = ModelRequest { id, timeout: TIMEOUT, key, model: MODEL, size };
+    model_request(head, &asked).body(Full::from(body(id)))
 }
 
 /// The whole body; none if it did not come whole.
@@ -223,7 +223,7 @@
 
 /// What is wrong with an answer that came whole.
 fn checked(id: &str, path: &str, status: u16, headers: &HeaderMap, body: &Bytes) -> End {
-    let (signed, answered) = (signed_by(headers).is_some(), answered(headers));
+    let (signed, answered) = (signed_by(headers).is_some(), request_id(headers));
     let expected = if is_stream(path) { events(id) } else { answer(id) };
     let got = String::from_utf8_lossy(body);
     let wrong = if status == 200 && !signed {
--- a/crates/bench/src/soak/configuration.rs
+++ b/crates/bench/src/soak/configuration.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cinderspoke_stand_ins::request::Size;
-use cinderspoke_stand_ins::spec::{self, Engines, Repeat, Route};
+use cinderspoke_stand_ins::spec::{self, Engines, Route, RouteKind};
 use cinderspoke_test_support::address::shared_port;
 use cinderspoke_test_support::oracle::attempt::Kind;
 use cinderspoke_test_support::oracle::judge::Bounds;
@@ -65,15 +65,15 @@
 }
 
 fn route((prefix, kind): &(String, Kind)) -> Route<'_> {
-    let repeat = match kind {
-        Kind::Safe => Repeat::Safe,
-        Kind::Unsafe => Repeat::Once,
-        Kind::Resumable => Repeat::Resume,
-        Kind::Stream => Repeat::Stream,
+    let kind = match kind {
+        Kind::Safe => RouteKind::Safe,
+        Kind::Unsafe => RouteKind::Once,
+        Kind::Resumable => RouteKind::Resume,
+        Kind::Stream => RouteKind::Stream,
     };
     let service = if prefix.starts_with("/model") { ENGINES } else { PLAIN };
-    let aim = if prefix == sized::ROUTE { SIZED_AIM } else { AIM };
-    Route { host: HOST, prefix, service, repeat, timeout: TIMEOUT, aim }
+    let ttft_target = if prefix == sized::ROUTE { SIZED_AIM } else { AIM };
+    Route { host: HOST, prefix, service, kind, timeout: TIMEOUT, ttft_target }
 }
 
 /// The configuration of a version, with what is in force.
@@ -83,7 +83,7 @@
     let engines = Engines {
         service: ENGINES,
         model: MODEL,
-        warm: WARM,
+        load_time: WARM,
         chunks: CHUNKS,
         chunk_bytes: CHUNK_BYTES,
         origin,
--- a/crates/bench/src/soak/endpoint.rs
+++ b/crates/bench/src/soak/endpoint.rs
@@ -11,7 +11,7 @@
 use axum::body::Body;
 use axum::extract::State;
 use bytes::Bytes;
-use cinderspoke_stand_ins::request::{self, Arrival};
+use cinderspoke_stand_ins::request::{self, Received};
 use cinderspoke_stand_ins::spec;
 use cinderspoke_test_support::oracle::attempt::Run;
 use cinderspoke_test_support::oracle::disturbance::{Kind, Whom};
@@ -144,7 +144,8 @@
     pub(crate) fn entry(&self, leaves: bool) -> Value {
         let models = self.engine.as_ref().map(|engine| engine.models());
         let (service, address) = (self.service, self.address());
-        let endpoint = spec::Endpoint { service, address, zone: ZONE, slots: SLOTS, leaves };
+        let endpoint =
+            spec::Endpoint { service, address, zone: ZONE, slots: SLOTS, is_draining: leaves };
         spec::entry(endpoint, models)
     }
 
@@ -196,9 +197,9 @@
 
 impl Shared {
     /// Begins a request that it does not outlive; it is back after a while.
-    async fn suffer(&self, arrival: &Arrival) -> Response<Body> {
+    async fn suffer(&self, arrival: &Received) -> Response<Body> {
         if arrival.target != self.name {
-            let answer = request::not_run(request::answer(&arrival.id, None));
+            let answer = request::not_run(request::answer_head(&arrival.id, None));
             return with(answer, 421, Body::empty());
         }
         if let Some(arrival) = fatal::arrival(&arrival.id, self.oracle.now()) {
@@ -230,14 +231,14 @@
     let notice = Arc::clone(&shared.notice);
     let mut answer = work(shared, request).await;
     if notice.leaves.load(Ordering::SeqCst) {
-        request::leave(answer.headers_mut());
+        request::set_draining(answer.headers_mut());
     }
     answer
 }
 
 async fn work(shared: Shared, request: Request<Body>) -> Response<Body> {
     let (head, body) = request.into_parts();
-    let arrival = Arrival::read(&head.headers);
+    let arrival = Received::read(&head.headers);
     if head.uri.path() == request::HEALTH {
         return with(request::health(&shared.name), 200, Body::empty());
     }
@@ -272,11 +273,11 @@
     let ended = Arc::clone(&shared.ended);
     let cuts = engine.as_ref().map(|engine| engine.cuts());
     let mut place = Place { working: Arc::clone(&shared.working), ended, engine, cuts, work };
-    let answered = request::answer(&id, version);
+    let answered = request::answer_head(&id, version);
     if !ran {
         let refusal = request::not_run(answered);
         let (status, refusal) = match rest {
-            Some(rest) => (503, request::rest(refusal, rest)),
+            Some(rest) => (503, request::backoff(refusal, rest)),
             None => (if other || older { 421 } else { 503 }, refusal),
         };
         return with(refusal, status, Body::empty());
@@ -302,7 +303,7 @@
         return with(signed, 200, Body::from(answer(&id)));
     }
     let signed = signed.header(CONTENT_TYPE, "text/event-stream");
-    with(signed, 200, events(id, arrival.after, pace, place))
+    with(signed, 200, events(id, arrival.last_event, pace, place))
 }
 
 /// Whether requests on a path are answered in events.
@@ -311,11 +312,11 @@
 }
 
 /// What is not as the caller sent it.
-fn differs(arrival: &Arrival, body: &Bytes) -> Option<String> {
+fn differs(arrival: &Received, body: &Bytes) -> Option<String> {
     if *body != super::caller::body(&arrival.id) {
         return Some("another body".to_owned());
     }
-    let Arrival { team, key, .. } = arrival;
+    let Received { team, key, .. } = arrival;
     let sound = team == spec::TEAM && key.is_empty();
     (!sound).then(|| format!("the team is {team:?} and the key {key:?}"))
 }
--- a/crates/bench/src/soak/engine.rs
+++ b/crates/bench/src/soak/engine.rs
@@ -167,7 +167,7 @@
 
 /// Takes an order to load what is staged.
 async fn order(State(engine): State<Arc<Engine>>, Json(order): Json<Value>) -> StatusCode {
-    let Some(Order { version, expected, breaks_off }) = Order::read(&order) else {
+    let Some(Order { version, expected, aborts }) = Order::read(&order) else {
         return StatusCode::BAD_REQUEST;
     };
     let mut inner = engine.lock();
@@ -180,7 +180,7 @@
     }
     inner.next = Some(version);
     inner.orders += 1;
-    if breaks_off {
+    if aborts {
         engine.cuts.send_modify(|cuts| *cuts += 1);
     }
     tokio::spawn(Arc::clone(&engine).load(version));
--- a/crates/bench/src/soak/fatal.rs
+++ b/crates/bench/src/soak/fatal.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cinderspoke_stand_ins::request::{Question, Size, question};
+use cinderspoke_stand_ins::request::{ModelRequest, Size, model_request};
 use cinderspoke_test_support::oracle::fatal::Arrival;
 use http::Request;
 use http::header::HOST as HOST_HEADER;
@@ -41,8 +41,9 @@
         let id = format!("{ID}-{gateway}-{sent}-{number}");
         let head = Request::post("/safe/quick").header(HOST_HEADER, HOST);
         let key = "key-0";
-        let asked = Question { id: &id, wait: TIMEOUT, key, model: MODEL, size: Size::SMALL };
-        let request = question(head, &asked).body(Full::from(BODY));
+        let asked =
+            ModelRequest { id: &id, timeout: TIMEOUT, key, model: MODEL, size: Size::SMALL };
+        let request = model_request(head, &asked).body(Full::from(BODY));
         let Ok(request) = request else { return };
         let exchange = async {
             let answer = connection.send_request(request).await.ok()?;
--- a/crates/bench/src/soak/plan.rs
+++ b/crates/bench/src/soak/plan.rs
@@ -3,7 +3,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use cinderspoke_stand_ins::store::Mood;
+use cinderspoke_stand_ins::store::Behavior;
 use cinderspoke_test_support::proxy::Way;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -47,8 +47,8 @@
     Delay(Links, Duration, Duration),
     /// One link loses what is sent one way, for a time.
     Cut(Links, Way, Duration),
-    /// The store is in a mood for a time.
-    Store(Mood, Duration),
+    /// The store misbehaves for a time.
+    Store(Behavior, Duration),
     /// The store forgets its history.
     Forget,
     /// A program is told to stop, and started again.
@@ -147,12 +147,12 @@
         5 => Fault::Reset(links),
         6 => Fault::Delay(links, Duration::from_millis(random.random_range(20..200)), length),
         7 => Fault::Cut(links, if random.random() { Way::Out } else { Way::Back }, length),
-        8 => Fault::Store(Mood::Down, length),
+        8 => Fault::Store(Behavior::Down, length),
         9 => {
             let slow = Duration::from_millis(random.random_range(300..2000));
-            Fault::Store(Mood::Slow(slow), length)
+            Fault::Store(Behavior::Slow(slow), length)
         }
-        10 => Fault::Store(Mood::Mute, length),
+        10 => Fault::Store(Behavior::Mute, length),
         11 => Fault::Forget,
         12 | 13 => Fault::Term,
         14 => Fault::Kill,
--- a/crates/bench/src/soak/player.rs
+++ b/crates/bench/src/soak/player.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use cinderspoke_stand_ins::spec;
-use cinderspoke_stand_ins::store::Mood;
+use cinderspoke_stand_ins::store::Behavior;
 use cinderspoke_test_support::oracle::attempt;
 use cinderspoke_test_support::oracle::disturbance::{Kind, Whom};
 use cinderspoke_test_support::proxy::Proxy;
@@ -68,7 +68,7 @@
     due: Vec<(Duration, Due)>,
     // Programs at which something is done.
     struck: HashSet<usize>,
-    // Whether the store is in a mood.
+    // Whether the store misbehaves.
     moody: bool,
     pub(crate) faults: usize,
 }
@@ -123,7 +123,7 @@
                 world.oracle.passed(number);
             }
             Due::Well(number) => {
-                world.store.set(Mood::Well);
+                world.store.set_behavior(Behavior::Normal);
                 world.oracle.passed(number);
                 self.moody = false;
             }
@@ -178,13 +178,13 @@
                 return Ok(Some(self.strike_one(world, links, Kind::Cut, length, cut)));
             }
             Fault::Store(..) if self.moody => return Ok(None),
-            Fault::Store(mood, length) => {
+            Fault::Store(behavior, length) => {
                 let number = world.oracle.struck(Kind::Store, Whom::All);
-                world.store.set(mood);
+                world.store.set_behavior(behavior);
                 self.moody = true;
                 self.later(world, length, Due::Well(number));
             }
-            Fault::Forget => world.store.forget(),
+            Fault::Forget => world.store.compact(),
             Fault::Term | Fault::Kill | Fault::Freeze(_) | Fault::Reload => {
                 return self.strike_program(world, fault).await;
             }
@@ -274,7 +274,7 @@
             News::Drain | News::Entry | News::Notice => self.leave(world, news).await?,
             News::Version => {
                 world.named += 1;
-                world.store.put(spec::VERSIONS, MODEL, spec::named(MODEL, world.named));
+                world.store.put(spec::VERSIONS, MODEL, spec::desired_version(MODEL, world.named));
                 world.oracle.named(world.named);
                 world.named.to_string()
             }
--- a/crates/bench/src/soak/sized.rs
+++ b/crates/bench/src/soak/sized.rs
@@ -74,7 +74,7 @@
             kind: Kind::Resumable,
             key: "key-0".to_owned(),
             pace: PACE,
-            size: Size { prompt, most: ANSWER },
+            size: Size { prompt, max_answer: ANSWER },
             leaves: None,
         };
         let Some(Ended { end, come_back }) =
--- a/crates/bench/src/soak/world.rs
+++ b/crates/bench/src/soak/world.rs
@@ -101,7 +101,7 @@
             seeds: Vec::new(),
             spawned: 0,
         };
-        world.store.put(spec::VERSIONS, MODEL, spec::named(MODEL, 1));
+        world.store.put(spec::VERSIONS, MODEL, spec::desired_version(MODEL, 1));
         world.declare();
         for _ in 0..PLAIN_ENDPOINTS {
             world.add_plain().await?;
@@ -185,7 +185,7 @@
         self.declared += 1;
         let offer = self.offer.borrow().clone();
         let declared = configuration::declared(self.declared, &offer, self.origin);
-        self.store.put(spec::CONFIGURATION, spec::NEWEST, declared);
+        self.store.put(spec::CONFIGURATION, spec::CONFIGURATION_NAME, declared);
         let routes = offer.routes.into_iter().chain(offer.sized).map(|(route, _)| route);
         self.oracle.declared(&routes.chain(offer.keys).collect::<Vec<_>>());
     }
