--- a/tests/testsuite/gateway/lag.rs
+++ b/tests/testsuite/gateway/lag.rs
@@ -1,4 +1,4 @@
-//! How far a configuration is behind.
+//! How far a configuration is behind the newest known one.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use super::ms;
 
 #[test]
-fn it_counts_from_the_first_newer_version_that_was_heard_of() {
+fn lag_counts_from_the_first_known_newer_version() {
     let mut lag = Lag::default();
-    assert_eq!(lag.behind(0, ms(100)), Duration::ZERO, "nothing was heard");
+    assert_eq!(lag.behind(0, ms(100)), Duration::ZERO, "no version is known");
     assert!(lag.record(3, ms(100)) && lag.record(5, ms(400)));
-    assert!(!lag.record(4, ms(500)), "an older one is no news");
+    assert!(!lag.record(4, ms(500)), "an older version is not new");
     assert_eq!(lag.newest(), 5);
     assert_eq!(lag.behind(2, ms(600)), ms(500));
     assert_eq!(lag.behind(3, ms(600)), ms(200));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_the_newest_stays() {
+fn remembered_versions_are_bounded_and_include_the_newest() {
     let mut lag = Lag::default();
     for version in 1..=1000 {
         lag.record(version, ms(version));
--- a/tests/testsuite/gateway/rollout.rs
+++ b/tests/testsuite/gateway/rollout.rs
@@ -1,4 +1,4 @@
-//! Versions that models are to have.
+//! Target versions of models.
 
 use cinderspoke_core::gateway::rollout::{Rollout, Version};
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn versions_never_go_back() {
+fn target_versions_never_decrease() {
     let mut rollout = named(3);
     assert!(!rollout.merge(&named(2)));
     assert_eq!(rollout.version(&"m".into()), Version(3));
--- a/tests/testsuite/gateway/suspect.rs
+++ b/tests/testsuite/gateway/suspect.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back, and what gateways tell each other of them.
+//! Which requests are quarantined, and how gateways exchange suspects.
 
 use std::time::Duration;
 
@@ -8,9 +8,8 @@
 
 use super::ms;
 
-/// A time after which a request that was held back has been tried, by all gateways that
-/// hold it back for the first time.
-const FIRST_HOLD_AND_SHARE: Duration = Duration::from_secs(121);
+/// A time after which the first quarantine of a request has ended on every gateway.
+const FIRST_QUARANTINE_AND_SHARE: Duration = Duration::from_secs(121);
 
 fn identity() -> Identity<'static> {
     Identity { method: "POST", host: "h", path: "/p", caller: "team", body: b"body" }
@@ -24,13 +23,13 @@
     Fingerprint::of(&Identity { body: b"another", ..identity() })
 }
 
-/// A gateway with a clock that began at its own time.
+/// A gateway whose clock starts at a time of its own.
 #[derive(Default)]
 struct Gateway {
     table: Table,
     name: &'static str,
     began: u64,
-    drawn: u64,
+    ids: u64,
 }
 
 impl Gateway {
@@ -42,21 +41,21 @@
         ms(now - self.began)
     }
 
-    fn draw(&mut self) -> u64 {
-        self.drawn += 1;
-        Key::of(self.name).with(Key::of_number(self.drawn)).as_u64()
+    fn next_id(&mut self) -> u64 {
+        self.ids += 1;
+        Key::of(self.name).with(Key::of_number(self.ids)).as_u64()
     }
 
-    /// An endpoint ended that had got a request at a time.
+    /// Records the end of an endpoint to which a request was sent.
     fn crash(&mut self, request: Fingerprint, endpoint: &str, sent: u64, broke: u64) -> Change {
-        let id = self.draw();
+        let id = self.next_id();
         let (sent, broke) = (self.now(sent), self.now(broke));
         let crash = Crash { id, endpoint: endpoint.into(), sent, disconnected: broke };
         self.table.record_crash(request, &crash, broke)
     }
 
     fn admit(&mut self, request: Fingerprint, now: u64) -> Admission {
-        let id = self.draw();
+        let id = self.next_id();
         self.table.admit(request, Key::of(self.name), id, self.now(now))
     }
 
@@ -64,17 +63,17 @@
         self.admit(request, now) == Admission::Pass
     }
 
-    fn tell(&self, now: u64) -> Vec<Update> {
+    fn updates(&self, now: u64) -> Vec<Update> {
         self.table.updates(self.now(now))
     }
 
-    /// Hears what another one told; true when it is news.
-    fn hear(&mut self, told: &[Update], now: u64) -> bool {
-        self.table.merge(told, self.now(now)).changed
+    /// Merges the updates of another gateway. Returns whether they change anything.
+    fn merge(&mut self, updates: &[Update], now: u64) -> bool {
+        self.table.merge(updates, self.now(now)).changed
     }
 
-    /// Suffers three ends, one after the other, the last at 1500.
-    fn suffer(&mut self, request: Fingerprint) {
+    /// Records three ends under a request, one after another, the last at 1500.
+    fn crash_three_times(&mut self, request: Fingerprint) {
         self.crash(request, "e1", 100, 500);
         self.crash(request, "e2", 505, 1000);
         self.crash(request, "e3", 1005, 1500);
@@ -82,21 +81,21 @@
 }
 
 #[test]
-fn a_request_is_held_back_after_three_ends_and_others_are_not() {
+fn a_request_is_quarantined_after_three_ends_and_others_are_not() {
     let mut gateway = Gateway::new("g", 0);
     assert_eq!(gateway.crash(fatal(), "e1", 100, 500), Change::Updated);
     assert_eq!(gateway.crash(fatal(), "e2", 505, 1000), Change::Updated);
-    assert!(gateway.passes(fatal(), 1001), "one or two may be met by chance");
+    assert!(gateway.passes(fatal(), 1001), "one or two ends may be coincidence");
     assert_eq!(gateway.crash(fatal(), "e3", 1005, 1500), Change::Quarantined);
     let Admission::Quarantined(left) = gateway.admit(fatal(), 1501) else {
-        panic!("it is held back")
+        panic!("it is quarantined")
     };
     assert!(left > ms(50_000));
     assert!(gateway.passes(other(), 1501));
 }
 
 #[test]
-fn what_differs_in_anything_that_stays_the_same_is_another_request() {
+fn requests_that_differ_in_any_part_have_different_fingerprints() {
     let others = [
         Identity { method: "GET", ..identity() },
         Identity { host: "other", ..identity() },
@@ -109,9 +108,9 @@
     assert_eq!(Fingerprint::of(&identity()), fatal());
 }
 
-// Many callers send the same request, and a loss of power ends all endpoints at once.
+// Many callers send the same request, and a power failure ends all endpoints at once.
 #[test]
-fn ends_at_the_same_moment_hold_nothing_back() {
+fn ends_at_the_same_moment_quarantine_nothing() {
     let mut gateway = Gateway::new("g", 0);
     for number in 0..8 {
         gateway.crash(fatal(), &format!("e{number}"), 100 * number, 1000 + number);
@@ -124,14 +123,14 @@
     let (mut one, mut two) = (Gateway::new("one", 0), Gateway::new("two", 0));
     one.crash(fatal(), "e1", 100, 500);
     one.crash(fatal(), "e2", 505, 1000);
-    two.hear(&one.tell(1010), 1010);
+    two.merge(&one.updates(1010), 1010);
     assert_eq!(two.table.record_answer(fatal(), ms(1100)), Change::Updated);
-    assert!(one.hear(&two.tell(1110), 1110));
-    // Nor does whoever has not heard of the answer bring the ends back.
+    assert!(one.merge(&two.updates(1110), 1110));
+    // A gateway that does not know the answer does not restore the ends.
     let mut three = Gateway::new("three", 0);
     three.crash(fatal(), "e1", 100, 500);
     three.crash(fatal(), "e2", 505, 1000);
-    one.hear(&three.tell(1200), 1200);
+    one.merge(&three.updates(1200), 1200);
     for gateway in [&mut one, &mut two] {
         gateway.crash(fatal(), "e3", 1205, 1500);
         gateway.crash(fatal(), "e4", 1505, 2000);
@@ -146,44 +145,44 @@
     gateways[0].crash(fatal(), "e1", 100, 500);
     gateways[1].crash(fatal(), "e1", 300, 504);
     gateways[1].crash(fatal(), "e2", 510, 1000);
-    // Change goes on and on, with 40 ms for each way.
+    // Updates are forwarded again and again, with a network delay of 40 ms.
     let mut now = 1000;
     for round in 0..60 {
         now += 40;
-        let told = gateways[round % 3].tell(now - 40);
-        gateways[(round + 1) % 3].hear(&told, now);
-        let told = gateways[(round + 1) % 3].tell(now - 40);
-        gateways[(round + 2) % 3].hear(&told, now);
+        let updates = gateways[round % 3].updates(now - 40);
+        gateways[(round + 1) % 3].merge(&updates, now);
+        let updates = gateways[(round + 1) % 3].updates(now - 40);
+        gateways[(round + 2) % 3].merge(&updates, now);
     }
     assert!(gateways.iter_mut().all(|gateway| gateway.passes(fatal(), now)), "two have ended");
     gateways[2].crash(fatal(), "e3", now, now + 400);
-    let told = gateways[2].tell(now + 400);
+    let updates = gateways[2].updates(now + 400);
     for gateway in &mut gateways[..2] {
-        assert!(gateway.hear(&told, now + 410));
+        assert!(gateway.merge(&updates, now + 410));
         assert!(matches!(gateway.admit(fatal(), now + 420), Admission::Quarantined(_)));
-        assert!(!gateway.hear(&told, now + 430), "told once more it is no news");
+        assert!(!gateway.merge(&updates, now + 430), "a repeated update changes nothing");
     }
 }
 
 #[test]
-fn a_gateway_that_starts_later_holds_back_for_what_was_left() {
+fn a_gateway_that_starts_later_quarantines_for_the_remaining_time() {
     let mut old = Gateway::new("old", 0);
-    old.suffer(fatal());
+    old.crash_three_times(fatal());
     let mut young = Gateway::new("young", 20_000);
-    young.hear(&old.tell(20_003), 20_003);
+    young.merge(&old.updates(20_003), 20_003);
     let Admission::Quarantined(left) = young.admit(fatal(), 20_004) else {
-        panic!("it is held back")
+        panic!("it is quarantined")
     };
     assert!(left > ms(41_000) && left < ms(102_000), "{left:?}");
 }
 
 #[test]
-fn one_gateway_tries_a_request_again_and_an_end_holds_it_back_for_longer() {
+fn one_gateway_probes_a_request_and_others_quarantine_it_for_longer() {
     let names = ["a", "b", "c", "d", "e"];
     let mut gateways = names.map(|name| Gateway::new(name, 0));
-    gateways[0].suffer(fatal());
-    let told = gateways[0].tell(1510);
-    gateways[1..].iter_mut().for_each(|gateway| _ = gateway.hear(&told, 1520));
+    gateways[0].crash_three_times(fatal());
+    let updates = gateways[0].updates(1510);
+    gateways[1..].iter_mut().for_each(|gateway| _ = gateway.merge(&updates, 1520));
     let mut now = 1520;
     let first = loop {
         now += 10;
@@ -192,22 +191,22 @@
             break number;
         }
     };
-    assert!(ms(now - 1500) < FIRST_HOLD_AND_SHARE);
-    let told = gateways[first].tell(now + 5);
+    assert!(ms(now - 1500) < FIRST_QUARANTINE_AND_SHARE);
+    let updates = gateways[first].updates(now + 5);
     for number in (0..names.len()).filter(|number| *number != first) {
-        assert!(gateways[number].hear(&told, now + 20));
+        assert!(gateways[number].merge(&updates, now + 20));
         let Admission::Quarantined(left) = gateways[number].admit(fatal(), now + 30) else {
             panic!("others wait")
         };
-        assert!(left > ms(60_000) && left < FIRST_HOLD_AND_SHARE * 2, "{left:?}");
+        assert!(left > ms(60_000) && left < FIRST_QUARANTINE_AND_SHARE * 2, "{left:?}");
     }
 }
 
 #[test]
-fn a_trial_that_is_answered_ends_the_hold() {
+fn an_answered_probe_ends_the_quarantine() {
     let mut gateway = Gateway::new("g", 0);
-    gateway.suffer(fatal());
-    let later = 1500 + FIRST_HOLD_AND_SHARE.as_millis() as u64;
+    gateway.crash_three_times(fatal());
+    let later = 1500 + FIRST_QUARANTINE_AND_SHARE.as_millis() as u64;
     assert_eq!(gateway.admit(fatal(), later), Admission::Probe);
     assert!(matches!(gateway.admit(fatal(), later + 1), Admission::Quarantined(_)));
     gateway.table.record_answer(fatal(), ms(later + 100));
@@ -215,23 +214,23 @@
 }
 
 #[test]
-fn what_is_known_and_told_is_bounded_and_keeps_what_is_held_back() {
+fn suspects_and_updates_are_bounded_and_keep_quarantined_requests() {
     let mut gateway = Gateway::new("g", 0);
-    gateway.suffer(fatal());
+    gateway.crash_three_times(fatal());
     for number in 0..2000_u64 {
         let body = number.to_le_bytes();
-        let by_chance = Fingerprint::of(&Identity { body: &body, ..identity() });
-        gateway.crash(by_chance, "e9", 1600, 2000);
+        let coincidental = Fingerprint::of(&Identity { body: &body, ..identity() });
+        gateway.crash(coincidental, "e9", 1600, 2000);
     }
     assert!(matches!(gateway.admit(fatal(), 2001), Admission::Quarantined(_)));
-    assert!(gateway.tell(2001).len() < 100);
+    assert!(gateway.updates(2001).len() < 100);
     let mut another = Gateway::new("another", 0);
-    another.hear(&gateway.tell(2001), 2010);
+    another.merge(&gateway.updates(2001), 2010);
     assert!(matches!(another.admit(fatal(), 2011), Admission::Quarantined(_)));
 }
 
 #[test]
-fn ends_long_ago_are_forgotten() {
+fn old_ends_expire() {
     let mut gateway = Gateway::new("g", 0);
     gateway.crash(fatal(), "e1", 100, 500);
     gateway.crash(other(), "e2", 3_600_000, 3_600_100);
@@ -240,31 +239,31 @@
 }
 
 #[test]
-fn what_the_store_says_is_held_back_is_held_until_it_is_answered() {
+fn a_stored_quarantine_lasts_until_an_answer() {
     let (mut one, mut two) = (Gateway::new("one", 10_000), Gateway::new("two", 10_300));
     assert!(one.table.restore_quarantine(fatal(), one.now(10_500)));
-    assert!(!one.table.restore_quarantine(fatal(), one.now(10_600)), "found again it is no news");
+    assert!(!one.table.restore_quarantine(fatal(), one.now(10_600)), "it is quarantined already");
     assert!(two.table.restore_quarantine(fatal(), two.now(10_700)));
-    assert!(!two.hear(&one.tell(10_800), 10_810), "both found the same");
+    assert!(!two.merge(&one.updates(10_800), 10_810), "both restored the same ends");
     assert!(matches!(one.admit(fatal(), 10_900), Admission::Quarantined(_)));
     assert!(one.passes(other(), 10_900));
     assert_eq!(one.table.record_answer(fatal(), one.now(11_000)), Change::Released);
-    assert!(two.hear(&one.tell(11_010), 11_020));
+    assert!(two.merge(&one.updates(11_010), 11_020));
     assert!(two.passes(fatal(), 11_030));
 }
 
-// Whoever saw the last end may not know of those before, and who knows of all may only have
-// been told of it: one of those at the ends has the store keep it.
+// The gateway that saw the last end may not know the earlier ones, and a gateway that knows all
+// of them may have seen none itself: the gateways that saw an end store the quarantine.
 #[test]
-fn whoever_was_at_an_end_has_what_is_held_back_kept() {
+fn gateways_that_saw_an_end_store_the_quarantine() {
     let (mut one, mut two, mut three) =
         (Gateway::new("one", 0), Gateway::new("two", 0), Gateway::new("three", 0));
     one.crash(fatal(), "e1", 100, 500);
     one.crash(fatal(), "e2", 505, 1000);
-    assert_eq!(two.crash(fatal(), "e3", 1005, 1500), Change::Updated, "it knows of one end");
-    let told = [one.tell(1510), two.tell(1510)].concat();
+    assert_eq!(two.crash(fatal(), "e3", 1005, 1500), Change::Updated, "it knows one end");
+    let updates = [one.updates(1510), two.updates(1510)].concat();
     for (gateway, witnessed) in [(&mut one, true), (&mut two, true), (&mut three, false)] {
-        let merged = gateway.table.merge(&told, ms(1520));
+        let merged = gateway.table.merge(&updates, ms(1520));
         assert_eq!(merged.quarantined, [fatal()]);
         assert_eq!(!merged.witnessed.is_empty(), witnessed);
     }
--- a/tests/testsuite/gateway/watch.rs
+++ b/tests/testsuite/gateway/watch.rs
@@ -1,10 +1,10 @@
-//! How long news are waited for, and how old they may be.
+//! How long gateways wait for changes from the platform, and how old these may be.
 
 use cinderspoke_core::gateway::watch::{Freshness, Watch, wait};
 
 use super::ms;
 
-/// A watch that heard something at 10 s.
+/// Returns a watch that got a complete answer at 10 s.
 fn watching() -> Watch {
     let mut watch = Watch::new(ms(0));
     watch.record_complete(ms(10_000));
@@ -12,19 +12,19 @@
 }
 
 #[test]
-fn what_comes_over_an_unbroken_watch_is_new_however_long_it_took() {
+fn changes_from_a_watch_without_failures_are_new_however_long_it_waited() {
     assert_eq!(watching().freshness(ms(19_000)), Freshness::New);
 }
 
-// The platform turns some gateways away and goes on for others and operators, so that
-// refused calls show no more than silent ones.
+// The platform may refuse some gateways while it serves others and operators, so refused calls
+// show no more than unanswered ones.
 #[test]
-fn what_comes_after_calls_that_failed_may_be_as_old_as_the_last_answer() {
+fn changes_after_failed_calls_may_be_as_old_as_the_last_answer() {
     let mut watch = watching();
     for failures in 1..5 {
         watch.record_failure(ms(11_000 + u64::from(failures)));
         assert_eq!(watch.failures(), failures);
-        assert_eq!(watch.unanswered_since(), ms(11_001), "the first one tells");
+        assert_eq!(watch.unanswered_since(), ms(11_001), "the first failure counts");
         assert_eq!(watch.freshness(ms(16_004)), Freshness::Within(ms(6004)));
     }
     watch.record_complete(ms(16_004));
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn what_comes_after_a_watch_was_given_up_may_be_as_old_as_the_last_answer() {
+fn changes_after_an_abandoned_call_may_be_as_old_as_the_last_answer() {
     let mut watch = watching();
     watch.abandon();
     assert_eq!(watch.freshness(ms(12_000)), Freshness::Within(ms(2000)));
 }
 
 #[test]
-fn what_the_platform_forgot_may_be_as_old_as_the_last_whole_answer() {
+fn changes_after_a_gap_may_be_as_old_as_the_last_complete_answer() {
     let mut watch = watching();
     watch.record_failure(ms(11_000));
     watch.record_gap(ms(12_000));
@@ -47,29 +47,29 @@
     assert_eq!(watch.freshness(ms(12_010)), Freshness::Within(ms(2010)));
 }
 
-// What is sound again has to show it soon: until then all news count as old, and one
-// more call that is silent costs its whole wait.
+// A connection that works again has to prove it soon: until then all changes count as old, and
+// one more unanswered call costs its whole wait.
 #[test]
-fn a_watch_that_went_amiss_waits_as_shortly_as_it_may() {
-    let calm = |watch: &Watch| watch.wait(40, 0.9) > ms(20_000);
-    let amiss: [fn(&mut Watch); 3] = [
+fn a_watch_waits_for_the_shortest_time_after_a_failure() {
+    let waits_long = |watch: &Watch| watch.wait(40, 0.9) > ms(20_000);
+    let failures: [fn(&mut Watch); 3] = [
         |watch| watch.record_failure(ms(11_000)),
         Watch::abandon,
         |watch| watch.record_gap(ms(11_000)),
     ];
-    for amiss in amiss {
+    for fail in failures {
         let mut watch = watching();
-        assert!(calm(&watch));
-        amiss(&mut watch);
+        assert!(waits_long(&watch));
+        fail(&mut watch);
         assert_eq!(watch.wait(40, 0.9), ms(500));
         watch.record_complete(ms(12_000));
-        assert!(calm(&watch));
+        assert!(waits_long(&watch));
     }
 }
 
 #[test]
-fn all_gateways_together_ask_as_often_however_many_they_are() {
-    // Calls a second, by the mean of evenly drawn waits.
+fn the_total_rate_of_calls_does_not_depend_on_the_number_of_gateways() {
+    // Calls a second, from the mean of uniformly distributed waits.
     let rate = |gateways: usize| {
         let draws = 1000;
         let waits = (0..draws).map(|draw| wait(gateways, f64::from(draw) / f64::from(draws)));
@@ -89,10 +89,10 @@
     }
 }
 
-// Guards against gateways that follow others and look by themselves each half second, once a
-// look was given up since others had told the news: each brought a copy over a narrow link.
+// Guards against followers that poll the platform every half second after a poll was abandoned
+// because other gateways had sent the change: each fetched a copy over a narrow link.
 #[test]
-fn a_pause_makes_news_old_and_the_next_pause_no_shorter() {
+fn a_pause_makes_changes_old_and_the_next_pause_no_shorter() {
     let mut watch = Watch::new(ms(0));
     watch.record_pause();
     assert_eq!(watch.freshness(ms(9000)), Freshness::Within(ms(9000)));
