--- a/crates/test-support/src/weights.rs
+++ b/crates/test-support/src/weights.rs
@@ -10,7 +10,7 @@
 use axum::routing::get;
 use axum::{Json, Router};
 use bytes::Bytes;
-use cinderspoke::util::pace::Pacer;
+use cinderspoke::util::pacer::Pacer;
 use cinderspoke_core::configuration::Configuration;
 use cinderspoke_core::manifest::Manifest;
 use cinderspoke_types::digest::Digest;
@@ -171,7 +171,7 @@
     let bytes = bytes.get(start..=end).map(|part| bytes.slice_ref(part));
     let bytes = bytes.ok_or(StatusCode::RANGE_NOT_SATISFIABLE)?;
     sleep(slow).await;
-    shared.pacer.carry(size::Bytes::new(bytes.len() as u64)).await;
+    shared.pacer.acquire(size::Bytes::new(bytes.len() as u64)).await;
     let mut catalogue = shared.lock();
     catalogue.given.reads += 1;
     catalogue.given.bytes += bytes.len() as u64;
--- a/src/bin/agent/main.rs
+++ b/src/bin/agent/main.rs
@@ -11,7 +11,7 @@
 use cinderspoke::util::http::Client;
 use cinderspoke::util::metrics;
 use cinderspoke::util::program::{
-    Running, cli, exit, run_on_own, run_on_platform, runs_on_platform,
+    Running, cli, exit, run_on_platform, run_standalone, runs_on_platform,
 };
 use cinderspoke_core::transfer::Policy;
 use cinderspoke_platform::engine::LocalEngine;
@@ -24,7 +24,7 @@
 }
 
 fn run(matches: &clap::ArgMatches) -> Result<()> {
-    if runs_on_platform(matches) { on_platform(matches) } else { on_own(matches) }
+    if runs_on_platform(matches) { on_platform(matches) } else { standalone(matches) }
 }
 
 /// Runs beside a model engine of a platform that names the versions.
@@ -50,9 +50,9 @@
 }
 
 /// Runs with orders from entry instances.
-fn on_own(matches: &clap::ArgMatches) -> Result<()> {
+fn standalone(matches: &clap::ArgMatches) -> Result<()> {
     let threads = |settings: &Settings| settings.traffic_threads;
-    run_on_own(matches, threads, async |mut running: Running<Settings>, control| {
+    run_standalone(matches, threads, async |mut running: Running<Settings>, control| {
         let settings = running.settings();
         let metrics = Some(metrics::open()?);
         let client = Client::new();
--- a/src/bin/entry/main.rs
+++ b/src/bin/entry/main.rs
@@ -10,7 +10,7 @@
 use cinderspoke::util::http::Client;
 use cinderspoke::util::metrics;
 use cinderspoke::util::program::{
-    Running, cli, exit, run_on_own, run_on_platform, runs_on_platform,
+    Running, cli, exit, run_on_platform, run_standalone, runs_on_platform,
 };
 use cinderspoke_platform::dialect::Headers;
 use cinderspoke_platform::store::Store;
@@ -22,7 +22,7 @@
 }
 
 fn run(matches: &clap::ArgMatches) -> Result<()> {
-    if runs_on_platform(matches) { on_platform(matches) } else { on_own(matches) }
+    if runs_on_platform(matches) { on_platform(matches) } else { standalone(matches) }
 }
 
 /// Runs behind a platform that keeps configuration, versions and endpoints.
@@ -45,9 +45,9 @@
 }
 
 /// Runs with a configuration of its own behind the object API.
-fn on_own(matches: &clap::ArgMatches) -> Result<()> {
+fn standalone(matches: &clap::ArgMatches) -> Result<()> {
     let threads = |settings: &Settings| settings.traffic_threads;
-    run_on_own(matches, threads, async |mut running: Running<Settings>, control| {
+    run_standalone(matches, threads, async |mut running: Running<Settings>, control| {
         let settings = running.settings();
         let metrics = Some(metrics::open()?);
         let client = Client::new();
--- a/src/cinderspoke/agent/fetch.rs
+++ b/src/cinderspoke/agent/fetch.rs
@@ -141,7 +141,7 @@
 /// Draws a chunk from the origin.
 async fn from_origin(context: &Context, request: Request) -> Result<Bytes> {
     let Request { manifest, range, .. } = request;
-    context.pacer.carry(length(&range)).await;
+    context.pacer.acquire(length(&range)).await;
     Ok(context.origin.read(manifest, range).await?)
 }
 
@@ -149,7 +149,7 @@
 async fn from_peer(context: &Context, request: Request) -> Result<Bytes> {
     let Request { digest, range, address, awaited, .. } = request;
     if !awaited {
-        context.pacer.carry(length(&range)).await;
+        context.pacer.acquire(length(&range)).await;
     }
     let address = address.context("the peer has left")?;
     let digest = digest.context("no such chunk")?;
@@ -160,7 +160,7 @@
     let bytes = context.client.fetch(call).await?;
     if awaited {
         // When it would come was not known before.
-        context.pacer.carry(length(&range)).await;
+        context.pacer.acquire(length(&range)).await;
     }
     Ok(bytes)
 }
--- a/src/cinderspoke/agent/mod.rs
+++ b/src/cinderspoke/agent/mod.rs
@@ -39,7 +39,7 @@
 use crate::ports::{Origin, WeightStore};
 use crate::util::clock::{Clock, incarnation};
 use crate::util::http::Client;
-use crate::util::pace::Pacer;
+use crate::util::pacer::Pacer;
 
 /// For how many heartbeats a leaving agent still takes requests, so that
 /// entry instances can turn away first.
@@ -181,7 +181,7 @@
     /// The bytes of weights that were drawn and given.
     #[must_use]
     pub fn carried(&self) -> Bytes {
-        self.shared.pacer.carried()
+        self.shared.pacer.total()
     }
 
     /// Stops in order: no request in progress is cut off.
--- a/src/cinderspoke/agent/peers.rs
+++ b/src/cinderspoke/agent/peers.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout;
 
 use super::shelf::Shelf;
-use crate::util::metrics::GIVEN;
-use crate::util::pace::Pacer;
+use crate::util::metrics::WEIGHTS_UPLOADED;
+use crate::util::pacer::Pacer;
 
 /// The longest that a peer may wait for more chunks.
 const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -84,8 +84,8 @@
 async fn give(giver: &Giver, digest: Digest) -> Result<Bytes, StatusCode> {
     let bytes = giver.shelf.give(digest).ok_or(StatusCode::NOT_FOUND)?;
     let length = bytes.len() as u64;
-    giver.pacer.carry(size::Bytes::new(length)).await;
-    counter!(GIVEN).increment(length);
+    giver.pacer.acquire(size::Bytes::new(length)).await;
+    counter!(WEIGHTS_UPLOADED).increment(length);
     Ok(bytes)
 }
 
--- a/src/cinderspoke/agent/transfer.rs
+++ b/src/cinderspoke/agent/transfer.rs
@@ -25,8 +25,8 @@
 use crate::ports::{Error, Origin, WeightStore};
 use crate::util::clock::Clock;
 use crate::util::http::Client;
-use crate::util::metrics::{CORRUPT, DRAWN};
-use crate::util::pace::Pacer;
+use crate::util::metrics::{CORRUPT, WEIGHTS_FETCHED};
+use crate::util::pacer::Pacer;
 
 /// How often a transfer that waits looks again.
 const TICK: Duration = Duration::from_millis(100);
@@ -273,7 +273,7 @@
             return transfer.record_failure(chunk, now);
         }
     };
-    counter!(DRAWN, "source" => label).increment(bytes.len() as u64);
+    counter!(WEIGHTS_FETCHED, "source" => label).increment(bytes.len() as u64);
     tracing::debug!(chunk, ?source, "chunk arrived");
     match transfer.record_chunk(chunk, digest, now) {
         Arrival::Accepted => context.shelf.put(digest, bytes),
--- a/src/cinderspoke/entry/admin.rs
+++ b/src/cinderspoke/entry/admin.rs
@@ -41,7 +41,7 @@
     /// The platform's object API.
     pub store: Arc<dyn ObjectStore>,
     /// Cancelled once the process is to stop.
-    pub leaving: CancellationToken,
+    pub draining: CancellationToken,
     /// Where metrics are collected, if they are.
     pub metrics: Option<PrometheusHandle>,
 }
@@ -116,7 +116,7 @@
 }
 
 async fn ready(State(context): State<Context>) -> (StatusCode, &'static str) {
-    if context.leaving.is_cancelled() {
+    if context.draining.is_cancelled() {
         return (StatusCode::SERVICE_UNAVAILABLE, "stopping");
     }
     match context.control.view().active {
--- a/src/cinderspoke/entry/once.rs
+++ b/src/cinderspoke/entry/at_most_once.rs
@@ -26,13 +26,13 @@
 
 /// What became of a claim.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum ClaimOutcome {
     /// This attempt may run; nobody else's may.
-    Ours,
+    Claimed,
     /// Another attempt with the same key was first.
     Taken,
     /// The platform does not answer, so this attempt must not run.
-    NotKnown(Error),
+    Unknown(Error),
 }
 
 /// One attempt at a request with a key.
@@ -60,31 +60,35 @@
     }
 
     /// Claims the key for this attempt.
-    pub async fn claim(&self, store: &dyn ObjectStore) -> Verdict {
+    pub async fn claim(&self, store: &dyn ObjectStore) -> ClaimOutcome {
         let value = serde_json::to_string(&self.claim).unwrap_or_default();
         for attempt in 1.. {
             match store.write(&self.key, value.clone(), Expect::Absent).await {
-                Ok(_) => return Verdict::Ours,
-                Err(Error::Conflict) => return self.settle(store).await,
+                Ok(_) => return ClaimOutcome::Claimed,
+                Err(Error::Conflict) => return self.verify(store).await,
                 // The reply may be lost and the claim made: the next write tells.
-                Err(error) if attempt >= ATTEMPTS => return Verdict::NotKnown(error),
+                Err(error) if attempt >= ATTEMPTS => return ClaimOutcome::Unknown(error),
                 Err(_) => tokio::time::sleep(PAUSE).await,
             }
         }
-        Verdict::Taken
+        ClaimOutcome::Taken
     }
 
     /// Looks whose claim it is that stands.
-    async fn settle(&self, store: &dyn ObjectStore) -> Verdict {
+    async fn verify(&self, store: &dyn ObjectStore) -> ClaimOutcome {
         match store.read(&self.key).await {
             Ok(Some(object)) => {
                 let standing =
                     object.value.and_then(|value| serde_json::from_str::<Claim>(&value).ok());
-                if standing.as_ref() == Some(&self.claim) { Verdict::Ours } else { Verdict::Taken }
+                if standing.as_ref() == Some(&self.claim) {
+                    ClaimOutcome::Claimed
+                } else {
+                    ClaimOutcome::Taken
+                }
             }
             // Removed in between: whoever had it has not run, but this attempt is late.
-            Ok(None) => Verdict::Taken,
-            Err(error) => Verdict::NotKnown(error),
+            Ok(None) => ClaimOutcome::Taken,
+            Err(error) => ClaimOutcome::Unknown(error),
         }
     }
 
@@ -103,7 +107,7 @@
 /// # Errors
 ///
 /// When the platform does not answer.
-pub async fn sweep(store: &dyn ObjectStore) -> Result<(), Error> {
+pub async fn remove_expired(store: &dyn ObjectStore) -> Result<(), Error> {
     let now = unix_ms();
     let remembered = u64::try_from(REMEMBERED.as_millis()).unwrap_or(u64::MAX);
     for object in store.list(object::ONCE).await?.objects {
--- a/src/cinderspoke/entry/callers/attempt.rs
+++ b/src/cinderspoke/entry/callers/attempt.rs
@@ -15,8 +15,8 @@
 use metrics::counter;
 use tokio::time::timeout;
 
+use super::parse::Parsed;
 use super::refusal::Refusal;
-use super::understand::Understood;
 use super::{Admitted, Context, INSTANCE, MANIFEST, OUTCOME, PRIORITY, RETRY_AFTER, route_of};
 use crate::entry::view::{Route, Target};
 use crate::util::http::{Error, uri};
@@ -55,21 +55,21 @@
 /// Tries replicas until one answers or nothing more may be tried.
 pub(super) async fn attempt_all(
     context: &Context,
-    understood: &Understood,
+    parsed: &Parsed,
 ) -> Result<(http::Response<Body>, Answering), Refusal> {
     let salt = context.requests.fetch_add(1, Ordering::Relaxed);
-    let request = route::Request { prefix: understood.prefix, salt };
+    let request = route::Request { prefix: parsed.prefix, salt };
     let mut tried: Vec<Instance> = Vec::new();
     let mut lost = false;
     let mut reason = String::from("no replica can answer now");
     loop {
         // Read anew each time: the replica that failed may be known as gone by now.
         let view = context.parts.control.view();
-        let route = route_of(&view, &understood.service)?;
+        let route = route_of(&view, &parsed.service)?;
         let Some(target) = pick(route, &request, &tried) else { break };
         tried.push(target.instance.clone());
         let attempts = u32::try_from(tried.len()).unwrap_or(u32::MAX);
-        let (failure, why) = match attempt(context, understood, target).await {
+        let (failure, why) = match attempt(context, parsed, target).await {
             Ok(answer) => {
                 counter!(ATTEMPTS, "result" => "answered").increment(1);
                 return Ok(answer);
@@ -79,7 +79,7 @@
         counter!(ATTEMPTS, "result" => label(failure)).increment(1);
         reason = format!("{}: {why}", target.instance);
         lost |= failure == Failure::Lost;
-        match outcome::after_failure(failure, lost, attempts, understood.repeat) {
+        match outcome::after_failure(failure, lost, attempts, parsed.repeat) {
             Next::Retry => {}
             Next::Respond(_) => break,
         }
@@ -108,12 +108,12 @@
 /// Sends a request to one replica's agent.
 async fn attempt(
     context: &Context,
-    understood: &Understood,
+    parsed: &Parsed,
     target: &Target,
 ) -> Result<(http::Response<Body>, Answering), (Failure, String)> {
     let in_flight = Counted::new(&target.in_flight);
-    let request = request_to_agent(understood, target)
-        .map_err(|error| (Failure::NotSent, error.to_string()))?;
+    let request =
+        request_to_agent(parsed, target).map_err(|error| (Failure::NotSent, error.to_string()))?;
     let sent = timeout(HEAD_TIMEOUT, context.parts.client.send(target.address, request)).await;
     let response = match sent {
         Ok(Ok(response)) => response,
@@ -133,20 +133,20 @@
     }
 }
 
-fn request_to_agent(understood: &Understood, target: &Target) -> http::Result<Request<Body>> {
-    let path = format!("/v1/requests/{}{}", understood.service, understood.path);
+fn request_to_agent(parsed: &Parsed, target: &Target) -> http::Result<Request<Body>> {
+    let path = format!("/v1/requests/{}{}", parsed.service, parsed.path);
     let mut request = Request::builder()
-        .method(understood.method.clone())
+        .method(parsed.method.clone())
         .uri(uri(target.address, &path))
-        .body(Body::from(understood.body.clone()))?;
+        .body(Body::from(parsed.body.clone()))?;
     let headers = request.headers_mut();
-    for (name, value) in &understood.headers {
+    for (name, value) in &parsed.headers {
         if !HOP_BY_HOP.contains(&name.as_str()) && name != http::header::CONTENT_LENGTH {
             headers.append(name.clone(), value.clone());
         }
     }
     headers.remove(MANIFEST);
-    headers.insert(PRIORITY, HeaderValue::try_from(understood.priority.to_string())?);
+    headers.insert(PRIORITY, HeaderValue::try_from(parsed.priority.to_string())?);
     if let Some(manifest) = target.manifest {
         headers.insert(MANIFEST, HeaderValue::try_from(manifest.to_string())?);
     }
--- a/src/cinderspoke/entry/callers/mod.rs
+++ b/src/cinderspoke/entry/callers/mod.rs
@@ -4,8 +4,8 @@
 //! page of the documentation.
 
 mod attempt;
+mod parse;
 mod refusal;
-mod understand;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,10 +25,10 @@
 use tokio::time::Instant;
 
 use self::attempt::{attempt_all, pass_back};
+use self::parse::{Parsed, receive};
 use self::refusal::Refusal;
-use self::understand::{Understood, understand};
+use super::at_most_once::{Attempt, ClaimOutcome};
 use super::control::Handle;
-use super::once::{Attempt, Verdict};
 use super::view::{Route, View};
 use crate::ports::ObjectStore;
 use crate::util::clock::{Clock, incarnation};
@@ -117,11 +117,11 @@
 
 async fn try_answer(context: &Arc<Context>, request: Request<Body>) -> Result<Response, Refusal> {
     let view = context.parts.control.view();
-    let understood = understand(context, &view, request).await?;
-    let route = route_of(&view, &understood.service)?;
-    let admitted = admit(context, &view, &understood, route)?;
-    let claimed = claim(context, &understood).await?;
-    match attempt_all(context, &understood).await {
+    let parsed = receive(context, &view, request).await?;
+    let route = route_of(&view, &parsed.service)?;
+    let admitted = admit(context, &view, &parsed, route)?;
+    let claimed = claim(context, &parsed).await?;
+    match attempt_all(context, &parsed).await {
         Ok((response, target)) => Ok(pass_back(response, target, admitted)),
         Err(refusal) => {
             if let (Some(attempt), Outcome::NotRun) = (claimed, refusal.outcome) {
@@ -145,7 +145,7 @@
     }
     let missing = || {
         let reason = format!("there is no service {service}");
-        Refusal::bad(StatusCode::NOT_FOUND, "no-service", reason)
+        Refusal::invalid(StatusCode::NOT_FOUND, "no-service", reason)
     };
     view.routes.get(service).ok_or_else(missing)
 }
@@ -169,7 +169,7 @@
 fn admit(
     context: &Arc<Context>,
     view: &View,
-    understood: &Understood,
+    parsed: &Parsed,
     route: &Route,
 ) -> Result<Admitted, Refusal> {
     let now = context.clock.now();
@@ -180,7 +180,7 @@
         limits.gate.configure(&active.configuration, now);
         limits.generation = active.root.generation;
     }
-    let Understood { team, service, .. } = understood;
+    let Parsed { team, service, .. } = parsed;
     match limits.gate.admit(team, service, route.targets.len(), now) {
         Decision::Admit => Ok(Admitted { context: Arc::clone(context), service: service.clone() }),
         Decision::Refuse { reason, retry_after } => {
@@ -191,21 +191,20 @@
 }
 
 /// Claims the key of a request that may run once, where it has one.
-async fn claim(context: &Context, understood: &Understood) -> Result<Option<Attempt>, Refusal> {
-    let Some(key) = understood.key.as_deref().filter(|_| understood.repeat == Repeat::Forbidden)
-    else {
+async fn claim(context: &Context, parsed: &Parsed) -> Result<Option<Attempt>, Refusal> {
+    let Some(key) = parsed.key.as_deref().filter(|_| parsed.repeat == Repeat::Forbidden) else {
         return Ok(None);
     };
     let number = context.requests.fetch_add(1, Ordering::Relaxed);
     let Parts { store, instance, .. } = &context.parts;
-    let attempt = Attempt::new(&understood.service, &understood.team, key, instance, number);
+    let attempt = Attempt::new(&parsed.service, &parsed.team, key, instance, number);
     match attempt.claim(store.as_ref()).await {
-        Verdict::Ours => Ok(Some(attempt)),
-        Verdict::Taken => {
+        ClaimOutcome::Claimed => Ok(Some(attempt)),
+        ClaimOutcome::Taken => {
             let reason = "the key was used before, and that request may have run";
             Err(Refusal { status: StatusCode::CONFLICT, ..Refusal::unknown(reason) })
         }
-        Verdict::NotKnown(error) => {
+        ClaimOutcome::Unknown(error) => {
             let (status, reason) = (StatusCode::SERVICE_UNAVAILABLE, error.to_string());
             Err(Refusal::not_run(status, "key-not-known", reason, RETRY_AFTER))
         }
--- a/src/cinderspoke/entry/callers/understand.rs
+++ b/src/cinderspoke/entry/callers/parse.rs
@@ -27,7 +27,7 @@
 const PREFIX: usize = 256;
 
 /// A request that has been understood.
-pub(super) struct Understood {
+pub(super) struct Parsed {
     pub(super) service: Service,
     pub(super) team: Team,
     pub(super) method: Method,
@@ -41,11 +41,11 @@
 }
 
 /// Reads a request whole, and finds all that is wrong with it.
-pub(super) async fn understand(
+pub(super) async fn receive(
     context: &Context,
     view: &View,
     request: Request<Body>,
-) -> Result<Understood, Refusal> {
+) -> Result<Parsed, Refusal> {
     let (head, body) = request.into_parts();
     let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str).to_owned();
     let mut wrong = Vec::new();
@@ -53,9 +53,9 @@
         wrong.push(format!("the path {path:?} is not /v1/services/NAME/..."));
         (String::new(), path.clone())
     });
-    let service = parse(&service, "the service", &mut wrong);
+    let service = parse_id(&service, "the service", &mut wrong);
     let team = match head.headers.get(TEAM) {
-        Some(team) => parse(&String::from_utf8_lossy(team.as_bytes()), "the team", &mut wrong),
+        Some(team) => parse_id(&String::from_utf8_lossy(team.as_bytes()), "the team", &mut wrong),
         None => {
             wrong.push(format!("the header {TEAM} is missing"));
             None
@@ -64,11 +64,11 @@
     let asked = repeat_asked(&head.headers, &mut wrong);
     let key = key(&head.headers, &mut wrong);
     let (Some(service), Some(team), true) = (service, team, wrong.is_empty()) else {
-        return Err(Refusal::bad(StatusCode::BAD_REQUEST, "bad-request", wrong.join("; ")));
+        return Err(Refusal::invalid(StatusCode::BAD_REQUEST, "bad-request", wrong.join("; ")));
     };
     let declared = &route_of(view, &service)?.service;
     check_team(view, declared, &team)?;
-    let body = receive(context, body).await?;
+    let body = read_body(context, body).await?;
     let bare_path = path.split('?').next().unwrap_or_default();
     let by_rule = outcome::repeat(declared, head.method.as_str(), bare_path);
     let repeat = if asked == Repeat::Forbidden { asked } else { by_rule };
@@ -76,7 +76,7 @@
         Kind::Model => Some(read_prompt(&head.method, bare_path, &body)?),
         Kind::Plain => None,
     };
-    Ok(Understood {
+    Ok(Parsed {
         service,
         team,
         method: head.method,
@@ -97,7 +97,7 @@
     Some((service.into(), if path.starts_with('/') { path.into() } else { format!("/{path}") }))
 }
 
-fn parse<T: std::str::FromStr<Err: std::fmt::Display>>(
+fn parse_id<T: std::str::FromStr<Err: std::fmt::Display>>(
     text: &str,
     what: &str,
     wrong: &mut Vec<String>,
@@ -144,25 +144,27 @@
         return Ok(());
     }
     let reason = format!("team {team} may not call {}", service.name);
-    Err(Refusal::bad(StatusCode::FORBIDDEN, "not-allowed", reason))
+    Err(Refusal::invalid(StatusCode::FORBIDDEN, "not-allowed", reason))
 }
 
 /// Reads the body whole, within its limits of size and time.
-async fn receive(context: &Context, body: Body) -> Result<Bytes, Refusal> {
+async fn read_body(context: &Context, body: Body) -> Result<Bytes, Refusal> {
     let limited = Limited::new(body, context.parts.body_limit.as_usize());
     match timeout(RECEIVE_TIMEOUT, limited.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             let reason = format!("the body is above {}", context.parts.body_limit);
-            Err(Refusal::bad(StatusCode::PAYLOAD_TOO_LARGE, "too-large", reason))
+            Err(Refusal::invalid(StatusCode::PAYLOAD_TOO_LARGE, "too-large", reason))
         }
         Ok(Err(error)) => {
             let reason = format!("the body broke off: {error}");
-            Err(Refusal::bad(StatusCode::BAD_REQUEST, "broken", reason))
-        }
-        Err(_) => {
-            Err(Refusal::bad(StatusCode::REQUEST_TIMEOUT, "too-slow", "the body came too slowly"))
+            Err(Refusal::invalid(StatusCode::BAD_REQUEST, "broken", reason))
         }
+        Err(_) => Err(Refusal::invalid(
+            StatusCode::REQUEST_TIMEOUT,
+            "too-slow",
+            "the body came too slowly",
+        )),
     }
 }
 
@@ -170,11 +172,11 @@
 fn read_prompt(method: &Method, path: &str, body: &Bytes) -> Result<Key, Refusal> {
     if method != Method::POST || path != "/generate" {
         let reason = format!("a model answers POST /generate, not {method} {path}");
-        return Err(Refusal::bad(StatusCode::NOT_FOUND, "no-call", reason));
+        return Err(Refusal::invalid(StatusCode::NOT_FOUND, "no-call", reason));
     }
     let request: Generate = serde_json::from_slice(body).map_err(|error| {
         let reason = format!("the body is no request to a model: {error}");
-        Refusal::bad(StatusCode::BAD_REQUEST, "bad-request", reason)
+        Refusal::invalid(StatusCode::BAD_REQUEST, "bad-request", reason)
     })?;
     let prefix: String = request.prompt.chars().take(PREFIX).collect();
     Ok(Key::of(&prefix))
--- a/src/cinderspoke/entry/callers/refusal.rs
+++ b/src/cinderspoke/entry/callers/refusal.rs
@@ -21,7 +21,11 @@
 }
 
 impl Refusal {
-    pub(super) fn bad(status: StatusCode, kind: &'static str, reason: impl Into<String>) -> Self {
+    pub(super) fn invalid(
+        status: StatusCode,
+        kind: &'static str,
+        reason: impl Into<String>,
+    ) -> Self {
         Self { outcome: Outcome::Bad, status, kind, reason: reason.into(), retry_after: None }
     }
 
--- a/src/cinderspoke/entry/control.rs
+++ b/src/cinderspoke/entry/control.rs
@@ -18,8 +18,8 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-use super::once;
-use super::view::{InFlight, Place, View};
+use super::at_most_once;
+use super::view::{InFlight, Location, View};
 use crate::ports::{Error, LiveList, ObjectStore};
 use crate::util::clock::Clock;
 use crate::util::http::Client;
@@ -70,7 +70,7 @@
     /// Control addresses of the zone's other entry instances.
     pub peers: Vec<std::net::SocketAddr>,
     /// Where this entry instance stands.
-    pub place: Place,
+    pub location: Location,
     /// Settings of the state.
     pub settings: Settings,
     /// Cancelled when the process stops.
@@ -203,14 +203,14 @@
 
     fn publish(&mut self) {
         let now = self.clock.now();
-        let view = View::new(&self.coordinator, &self.parts.place, &mut self.in_flight, now);
+        let view = View::new(&self.coordinator, &self.parts.location, &mut self.in_flight, now);
         let generation = view.generation();
         if generation > self.handle.view().generation() {
             tracing::info!(%generation, "configuration in force");
             // Generations stay far below what a float holds exactly.
             gauge!(GENERATION).set(generation.as_u64() as f64);
         }
-        let news = view.has_news_since(&self.handle.view());
+        let news = view.has_updates_since(&self.handle.view());
         self.handle.view.store(Arc::new(view));
         if news {
             self.handle.published.raise();
@@ -313,7 +313,7 @@
     loop {
         ticks.tick().await;
         if handle.view().is_planner
-            && let Err(error) = once::sweep(parts.store.as_ref()).await
+            && let Err(error) = at_most_once::remove_expired(parts.store.as_ref()).await
         {
             tracing::warn!(%error, "forgetting old keys");
         }
--- a/src/cinderspoke/entry/mod.rs
+++ b/src/cinderspoke/entry/mod.rs
@@ -2,14 +2,15 @@
 //!
 //! - [`control`] owns the control state and publishes a [`view`] of it.
 //! - [`rpc`] answers agents and other entry instances.
-//! - [`callers`] answers callers, over the view alone; [`once`] claims keys.
+//! - [`callers`] answers callers, over the view alone; [`at_most_once`] claims keys.
 //! - [`admin`] answers operators; [`apply`] carries out their changes.
 
 pub mod admin;
 pub mod apply;
+pub mod at_most_once;
 pub mod callers;
 pub mod control;
-pub mod once;
+
 pub mod rpc;
 pub mod status;
 pub mod view;
@@ -66,7 +67,7 @@
     handle: control::Handle,
     routers: Routers,
     // Cancelled first: the process reports itself as not ready.
-    leaving: CancellationToken,
+    draining: CancellationToken,
     // Cancelled second: no new connections are taken.
     closing: CancellationToken,
     // Cancelled last: control ends.
@@ -82,7 +83,7 @@
     /// When its routes contradict each other.
     pub fn open(settings: &settings::Entry, parts: Parts) -> Result<Self> {
         let stop = CancellationToken::new();
-        let (leaving, closing) = (CancellationToken::new(), CancellationToken::new());
+        let (draining, closing) = (CancellationToken::new(), CancellationToken::new());
         let handle = {
             let _control = parts.control.enter();
             control::spawn(control_parts(settings, &parts, &stop))
@@ -99,11 +100,11 @@
             admin: admin::app(admin::Context {
                 control: handle.clone(),
                 store: parts.store,
-                leaving: leaving.clone(),
+                draining: draining.clone(),
                 metrics: parts.metrics,
             }),
         };
-        Ok(Self { handle, routers, leaving, closing, stop, servers: Vec::new() })
+        Ok(Self { handle, routers, draining, closing, stop, servers: Vec::new() })
     }
 
     /// Listens on the addresses of the settings.
@@ -139,7 +140,7 @@
     /// Stops in order: no request in progress is cut off.
     pub async fn stop(mut self) {
         tracing::info!("stopping");
-        self.leaving.cancel();
+        self.draining.cancel();
         tokio::time::sleep(LAME_DUCK).await;
         self.closing.cancel();
         for server in self.servers.drain(..) {
@@ -166,7 +167,7 @@
         live_list: Arc::clone(&parts.live_list),
         client: parts.client.clone(),
         peers: settings.peers.clone(),
-        place: view::Place { zone: settings.zone.clone(), region: settings.region.clone() },
+        location: view::Location { zone: settings.zone.clone(), region: settings.region.clone() },
         settings: coordinator::Settings {
             instance: settings.instance.clone(),
             zone: settings.zone.clone(),
--- a/src/cinderspoke/entry/rpc.rs
+++ b/src/cinderspoke/entry/rpc.rs
@@ -65,7 +65,7 @@
     let news = async {
         loop {
             let view = control.view();
-            if view.has_news_for(&heartbeat) {
+            if view.has_updates_for(&heartbeat) {
                 return view.reply(&heartbeat);
             }
             published.changed().await;
--- a/src/cinderspoke/entry/view.rs
+++ b/src/cinderspoke/entry/view.rs
@@ -22,7 +22,7 @@
 
 /// Where an entry instance stands.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Location {
     /// Its availability zone.
     pub zone: Zone,
     /// Its region.
@@ -101,7 +101,7 @@
     /// The newest plan of each zone.
     pub plans: BTreeMap<Zone, Plan>,
     /// The newest sum of each zone.
-    pub sums: Vec<Members>,
+    pub members_by_zone: Vec<Members>,
     /// All members.
     pub members: Vec<(Member, Health)>,
     /// Whether this instance writes the plans.
@@ -118,7 +118,7 @@
     #[must_use]
     pub fn new(
         coordinator: &Coordinator,
-        place: &Place,
+        location: &Location,
         in_flight: &mut InFlight,
         now: Duration,
     ) -> Self {
@@ -127,11 +127,11 @@
         let plans: BTreeMap<_, _> =
             coordinator.plans().map(|plan| (plan.zone.clone(), plan.clone())).collect();
         let active = coordinator.active().cloned();
-        let routes = active.as_ref().map(|active| routes(active, &members, place, in_flight));
+        let routes = active.as_ref().map(|active| routes(active, &members, location, in_flight));
         Self {
             swarms: swarms(&plans, &members),
-            orders: plans.get(&place.zone).map(orders).unwrap_or_default(),
-            sums: coordinator.members_by_zone().cloned().collect(),
+            orders: plans.get(&location.zone).map(orders).unwrap_or_default(),
+            members_by_zone: coordinator.members_by_zone().cloned().collect(),
             is_planner: coordinator.is_planner(now),
             routes: routes.unwrap_or_default(),
             active,
@@ -148,7 +148,7 @@
 
     /// Whether agents have to learn of something that another view did not tell.
     #[must_use]
-    pub fn has_news_since(&self, other: &Self) -> bool {
+    pub fn has_updates_since(&self, other: &Self) -> bool {
         let fences =
             |view: &Self| -> Vec<Fence> { view.plans.values().map(|plan| plan.fence).collect() };
         let swarms =
@@ -158,7 +158,7 @@
 
     /// Whether an answer to an agent's heartbeat would tell it something new.
     #[must_use]
-    pub fn has_news_for(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn has_updates_for(&self, heartbeat: &Heartbeat) -> bool {
         let member = &heartbeat.member;
         let fence = self.plans.get(&member.zone).map_or(Fence::default(), |plan| plan.fence);
         let orders = self.orders.get(&member.instance).map_or(&[][..], Vec::as_slice);
@@ -252,7 +252,7 @@
 fn routes(
     active: &Active,
     members: &[(Member, Health)],
-    place: &Place,
+    location: &Location,
     in_flight: &mut InFlight,
 ) -> BTreeMap<Service, Route> {
     let mut routes: BTreeMap<Service, Route> = BTreeMap::new();
@@ -275,7 +275,7 @@
                 current: manifest == wanted.map(|weights| weights.manifest),
                 in_flight: in_flight.counter(&member.instance),
                 key: Key::of(member.instance.as_str()),
-                distance: distance(member, place),
+                distance: distance(member, location),
                 health: *health,
                 reported: member.load.as_ref().map_or(0, |load| load.running + load.queued),
             });
@@ -301,10 +301,10 @@
     }
 }
 
-fn distance(member: &Member, place: &Place) -> Distance {
-    if member.zone == place.zone {
+fn distance(member: &Member, location: &Location) -> Distance {
+    if member.zone == location.zone {
         Distance::Zone
-    } else if member.region == place.region {
+    } else if member.region == location.region {
         Distance::Region
     } else {
         Distance::Far
--- a/src/cinderspoke/gateway/answer.rs
+++ b/src/cinderspoke/gateway/answer.rs
@@ -103,7 +103,7 @@
 /// Reads a whole answer.
 async fn read(context: &Context, parsed: &Parsed, answer: Answer) -> Attempt {
     let Answer { head, body, connection, sent, .. } = answer;
-    let read = parsed.deadline.bound(Limited::new(body, MAX_BUFFERED_ANSWER).collect()).await;
+    let read = parsed.deadline.timeout(Limited::new(body, MAX_BUFFERED_ANSWER).collect()).await;
     let body = match read {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => {
--- a/src/cinderspoke/gateway/fetch_log.rs
+++ b/src/cinderspoke/gateway/fetch_log.rs
@@ -3,7 +3,7 @@
 use cinderspoke_ports::client::Progress;
 use metrics::counter;
 
-use crate::util::metrics::CONFIGURATION_DRAWN;
+use crate::util::metrics::CONFIGURATION_FETCHED;
 
 /// The smallest abandoned response that is reported, in bytes: a smaller one is an error
 /// response.
@@ -26,6 +26,6 @@
 
 fn count(source: &'static str, progress: &Progress) -> (u64, u64) {
     let bytes = progress.bytes();
-    counter!(CONFIGURATION_DRAWN, "source" => source).increment(bytes);
+    counter!(CONFIGURATION_FETCHED, "source" => source).increment(bytes);
     (bytes, progress.elapsed().as_millis() as u64)
 }
--- a/src/cinderspoke/gateway/follow.rs
+++ b/src/cinderspoke/gateway/follow.rs
@@ -29,7 +29,7 @@
 };
 use super::state::State;
 use crate::util::clock::Clock;
-use crate::util::settings::inner_address;
+use crate::util::settings::internal_address;
 use crate::util::stop;
 
 /// The back-off after the first failure of a call to the store.
@@ -74,7 +74,7 @@
         tokio::spawn(stop::until(token.clone(), follow(source, state)));
     }
     tokio::spawn(stop::until(token.clone(), expire_retained(Arc::clone(state))));
-    let own = inner_address(settings);
+    let own = internal_address(settings);
     let register = register(shared(), settings.instance.to_string(), own);
     tokio::spawn(stop::until(token, register));
 }
--- a/src/cinderspoke/gateway/mod.rs
+++ b/src/cinderspoke/gateway/mod.rs
@@ -86,7 +86,7 @@
 use crate::util::clock::Clock;
 use crate::util::http::Client;
 use crate::util::listen;
-use crate::util::settings::inner_address;
+use crate::util::settings::internal_address;
 use crate::util::stop::until;
 
 /// How long a gateway still gets new connections after it reports that it is not ready: the
@@ -138,8 +138,8 @@
         let callers = listen::tcp(listen.callers).await?;
         let ready = listen::tcp(listen.ready).await?;
         let control = listen::tcp(listen.control).await?;
-        let inner = listen::tcp(inner_address(settings)).await?;
-        let socket = listen::udp(inner_address(settings)).await?;
+        let inner = listen::tcp(internal_address(settings)).await?;
+        let socket = listen::udp(internal_address(settings)).await?;
         tokio::spawn(serve::callers(callers, Arc::clone(&context), stop.clone()));
         for listener in [ready, control] {
             let app = serve::admin(Arc::clone(&context), parts.metrics.clone());
--- a/src/cinderspoke/gateway/options.rs
+++ b/src/cinderspoke/gateway/options.rs
@@ -9,7 +9,7 @@
 use cinderspoke_core::gateway::overlap::Overlap;
 use cinderspoke_schema::settings;
 
-use crate::util::settings::{inner_address, seed_addresses};
+use crate::util::settings::{internal_address, seed_addresses};
 
 /// How long changes of endpoints are batched before the next watch, as a fraction of the time
 /// after which a draining endpoint may get no new requests. Each watch costs a call to the
@@ -48,7 +48,7 @@
     /// Extracts the options from settings.
     #[must_use]
     pub fn new(settings: &settings::Node) -> Self {
-        let (bounds, own) = (&settings.bounds, inner_address(settings));
+        let (bounds, own) = (&settings.bounds, internal_address(settings));
         let overlap = Overlap::within(Duration::from_millis(bounds.version_ms));
         let window = Duration::from_secs_f64(bounds.budget_window_s);
         Self {
--- a/src/cinderspoke/gateway/parse.rs
+++ b/src/cinderspoke/gateway/parse.rs
@@ -138,7 +138,7 @@
 /// Reads a body within the size limit and the deadline.
 async fn read_body(body: Incoming, limits: &Limits, deadline: &Deadline) -> Result<Bytes, Refusal> {
     let limit = usize::try_from(limits.body_bytes).unwrap_or(usize::MAX);
-    let read = deadline.bound(Limited::new(body, limit).collect()).await;
+    let read = deadline.timeout(Limited::new(body, limit).collect()).await;
     let Ok(read) = read else {
         return Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "the request did not come in time"));
     };
--- a/src/cinderspoke/gateway/pool.rs
+++ b/src/cinderspoke/gateway/pool.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::socket::Socket;
-use crate::util::clock::{NOTICED, suspended};
+use crate::util::clock::{MIN_SUSPENSION, suspended};
 
 /// Timeout of connecting: a few round trips on a healthy link.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -109,7 +109,7 @@
         // A connection that was idle during a suspension was idle for longer than the clock shows.
         let suspended = suspended();
         idle.retain(|entry| {
-            let slept = suspended.saturating_sub(entry.suspended) > NOTICED;
+            let slept = suspended.saturating_sub(entry.suspended) > MIN_SUSPENSION;
             now < entry.until && !slept && !entry.connection.is_closed()
         });
         let ready = idle.iter().rposition(|entry| entry.connection.is_ready())?;
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -34,8 +34,8 @@
 use super::plan::Planner;
 use super::state;
 use crate::util::http::Client;
-use crate::util::metrics::CONFIGURATION_BEHIND;
-use crate::util::settings::inner_address;
+use crate::util::metrics::CONFIGURATION_LAG;
+use crate::util::settings::internal_address;
 use crate::util::stop;
 
 /// The pause between two rounds of sending updates.
@@ -73,7 +73,7 @@
         client: Client,
         socket: UdpSocket,
     ) -> Self {
-        let own = inner_address(settings);
+        let own = internal_address(settings);
         let planner = Planner::new(Arc::clone(&state));
         let (agents, socket) = (Agents::default(), Arc::new(socket));
         state.queries().attach(own, Arc::clone(&socket));
@@ -291,7 +291,7 @@
                 count => vec![others[rand::random_range(0..count)]],
             };
             let behind = self.state.configuration_behind();
-            gauge!(CONFIGURATION_BEHIND).set(behind.as_secs_f64());
+            gauge!(CONFIGURATION_LAG).set(behind.as_secs_f64());
             let digest = self.digest();
             for target in targets {
                 send(&self.socket, target, &digest).await;
--- a/src/cinderspoke/gateway/send.rs
+++ b/src/cinderspoke/gateway/send.rs
@@ -124,7 +124,7 @@
     let request = request(context, parsed, selected, after);
     let stale = stale_after(parsed, selected).filter(|_| reused);
     let until = stale.map_or(*until, |stale| context.clock.after(stale).min(*until));
-    match until.bound(connection.try_send_request(request)).await {
+    match until.timeout(connection.try_send_request(request)).await {
         Ok(Ok(response)) => {
             let (head, body) = response.into_parts();
             let info = context.dialect.parse_answer(&head);
--- a/src/cinderspoke/gateway/state.rs
+++ b/src/cinderspoke/gateway/state.rs
@@ -30,7 +30,7 @@
 use super::target::Target;
 use super::view::{Member, View};
 use crate::util::clock::Clock;
-use crate::util::settings::inner_address;
+use crate::util::settings::internal_address;
 use crate::util::signal::{Receiver, Signal};
 
 /// The minimum time between two counts of the gateways. Among many there is always one whose
@@ -61,7 +61,7 @@
     /// Creates the empty state of a gateway.
     #[must_use]
     pub fn new(settings: &settings::Node, options: Options, clock: Clock) -> Self {
-        let own = inner_address(settings);
+        let own = internal_address(settings);
         let region = region::Table::new(own, settings.region.as_str().into());
         Self {
             inner: Mutex::new(Inner { region, ..Inner::default() }),
--- a/src/cinderspoke/gateway/stream.rs
+++ b/src/cinderspoke/gateway/stream.rs
@@ -109,7 +109,8 @@
             return Ok(Item::End);
         }
         loop {
-            let frame = until.bound(self.body.frame()).await.map_err(|_| Interrupted::TimedOut)?;
+            let frame =
+                until.timeout(self.body.frame()).await.map_err(|_| Interrupted::TimedOut)?;
             let Some(frame) = frame else {
                 return if self.splitter.has_partial() {
                     Err(Interrupted::BrokenOff)
--- a/src/cinderspoke/ops/apply.rs
+++ b/src/cinderspoke/ops/apply.rs
@@ -9,7 +9,7 @@
 use cinderspoke_types::counter::Generation;
 use cinderspoke_types::id::{Author, Operation};
 
-use super::client::{Admin, Refused};
+use super::client::{Admin, ApplyError};
 use super::{Console, Exit, Report, files, findings, status};
 
 /// What is to be applied, by whom and on what base.
@@ -44,8 +44,8 @@
     let request = ApplyRequest { operation: operation.clone(), author, base, files };
     let generation = match admin.apply(&request).await {
         Ok(reply) => reply.generation,
-        Err(Refused::Problem { problem, .. }) => return refused(&problem, &operation),
-        Err(Refused::Failed(error)) => return not_known(&operation, &error.to_string()),
+        Err(ApplyError::Problem { problem, .. }) => return refused(&problem, &operation),
+        Err(ApplyError::Failed(error)) => return not_known(&operation, &error.to_string()),
     };
     if let Some(limit) = wait {
         status::wait(admin, generation, limit, console).await?;
--- a/src/cinderspoke/ops/client.rs
+++ b/src/cinderspoke/ops/client.rs
@@ -17,7 +17,7 @@
 
 /// A change that was refused.
 #[derive(Debug, Display)]
-pub enum Refused {
+pub enum ApplyError {
     /// {title}
     Problem {
         /// What is wrong.
@@ -29,7 +29,7 @@
     Failed(Error),
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ApplyError {}
 
 /// The administration API of an entry instance.
 #[derive(Debug, Clone)]
@@ -59,17 +59,17 @@
     /// # Errors
     ///
     /// When the change was refused, or no answer came.
-    pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReply, Refused> {
+    pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReply, ApplyError> {
         let call = Call::new(Method::POST, self.address, "/v1/apply");
         let answer = self.client.fetch_json(call.json(request).timeout(APPLY_TIMEOUT)).await;
         answer.map_err(|error| match &error {
             Error::Status(_, _, body, _) => match serde_json::from_str::<Problem>(body) {
                 Ok(problem) => {
-                    Refused::Problem { title: problem.title.clone(), problem: Box::new(problem) }
+                    ApplyError::Problem { title: problem.title.clone(), problem: Box::new(problem) }
                 }
-                Err(_) => Refused::Failed(error),
+                Err(_) => ApplyError::Failed(error),
             },
-            _ => Refused::Failed(error),
+            _ => ApplyError::Failed(error),
         })
     }
 
--- a/src/cinderspoke/stager/mod.rs
+++ b/src/cinderspoke/stager/mod.rs
@@ -48,8 +48,8 @@
 use crate::util::clock::Clock;
 use crate::util::http::Client;
 use crate::util::listen;
-use crate::util::pace::Pacer;
-use crate::util::settings::inner_address;
+use crate::util::pacer::Pacer;
+use crate::util::settings::internal_address;
 use crate::util::stop;
 
 /// The versions whose chunks are kept in memory: the one that runs, the one
@@ -117,7 +117,7 @@
     /// When no engine is beside it by its settings, or an address cannot be listened to.
     pub async fn bind(settings: &settings::Node, parts: Parts) -> Result<Self> {
         let beside = settings.beside.as_ref().context("the settings name no engine beside")?;
-        let own = inner_address(settings);
+        let own = internal_address(settings);
         let listener = listen::tcp(own).await?;
         let socket = listen::udp(own).await?;
         let stop = CancellationToken::new();
--- a/src/cinderspoke/util/clock.rs
+++ b/src/cinderspoke/util/clock.rs
@@ -17,7 +17,7 @@
 const LOOK: Duration = Duration::from_millis(500);
 
 /// A suspension that is shorter is none: clocks that are read one after the other differ.
-pub const NOTICED: Duration = Duration::from_millis(50);
+pub const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
 /// A clock that starts at zero, never goes back, and goes on while the machine is suspended.
 #[derive(Debug, Clone, Copy)]
@@ -79,7 +79,7 @@
     /// Whether the machine was suspended since it had been for a time.
     #[must_use]
     pub fn was_suspended_since(&self, suspended: Duration) -> bool {
-        self.suspended().saturating_sub(suspended) > NOTICED
+        self.suspended().saturating_sub(suspended) > MIN_SUSPENSION
     }
 
     /// The moment so long from now.
@@ -136,7 +136,7 @@
     /// # Errors
     ///
     /// When it does not come in time.
-    pub async fn bound<F: Future>(&self, awaited: F) -> Result<F::Output, error::Elapsed> {
+    pub async fn timeout<F: Future>(&self, awaited: F) -> Result<F::Output, error::Elapsed> {
         let mut awaited = std::pin::pin!(awaited);
         loop {
             let left = self.left();
--- a/src/cinderspoke/util/metrics.rs
+++ b/src/cinderspoke/util/metrics.rs
@@ -15,10 +15,10 @@
 pub const FIRST_BYTE: &str = "cinderspoke_first_byte_seconds";
 
 /// Bytes of weights drawn, by source.
-pub const DRAWN: &str = "cinderspoke_weights_drawn_bytes_total";
+pub const WEIGHTS_FETCHED: &str = "cinderspoke_weights_drawn_bytes_total";
 
 /// Bytes of weights given to peers.
-pub const GIVEN: &str = "cinderspoke_weights_given_bytes_total";
+pub const WEIGHTS_UPLOADED: &str = "cinderspoke_weights_given_bytes_total";
 
 /// Chunks that arrived corrupt, by source.
 pub const CORRUPT: &str = "cinderspoke_chunks_corrupt_total";
@@ -27,10 +27,10 @@
 pub const GENERATION: &str = "cinderspoke_generation";
 
 /// Bytes drawn to learn configurations, by source.
-pub const CONFIGURATION_DRAWN: &str = "cinderspoke_configuration_drawn_bytes_total";
+pub const CONFIGURATION_FETCHED: &str = "cinderspoke_configuration_drawn_bytes_total";
 
 /// For how long a newer configuration than the one in force has been known to be, in seconds.
-pub const CONFIGURATION_BEHIND: &str = "cinderspoke_configuration_behind_seconds";
+pub const CONFIGURATION_LAG: &str = "cinderspoke_configuration_behind_seconds";
 
 /// Collects the process's metrics; the handle gives the text that scrapes read.
 ///
--- a/src/cinderspoke/util/mod.rs
+++ b/src/cinderspoke/util/mod.rs
@@ -4,7 +4,7 @@
 pub mod listen;
 pub mod log;
 pub mod metrics;
-pub mod pace;
+pub mod pacer;
 pub mod program;
 pub mod reload;
 pub mod rpc;
--- a/src/cinderspoke/util/pace.rs
+++ b/src/cinderspoke/util/pacer.rs
@@ -43,7 +43,7 @@
     }
 
     /// Waits until some bytes may be carried.
-    pub async fn carry(&self, bytes: Bytes) {
+    pub async fn acquire(&self, bytes: Bytes) {
         self.carried.fetch_add(bytes.as_u64(), Ordering::Relaxed);
         if let Some(start) = self.reserve(bytes) {
             tokio::time::sleep_until(start).await;
@@ -52,7 +52,7 @@
 
     /// How much was carried in all.
     #[must_use]
-    pub fn carried(&self) -> Bytes {
+    pub fn total(&self) -> Bytes {
         Bytes::new(self.carried.load(Ordering::Relaxed))
     }
 
--- a/src/cinderspoke/util/program.rs
+++ b/src/cinderspoke/util/program.rs
@@ -118,7 +118,7 @@
 /// # Errors
 ///
 /// As on a platform.
-pub fn run_on_own<S: Settings, T>(
+pub fn run_standalone<S: Settings, T>(
     matches: &ArgMatches,
     traffic_threads: impl FnOnce(&S) -> NonZeroU32,
     main: impl FnOnce(Running<S>, Handle) -> T,
--- a/src/cinderspoke/util/reload.rs
+++ b/src/cinderspoke/util/reload.rs
@@ -143,7 +143,7 @@
         let read: T = settings::check(&self.path, text.with_context(reading)?)?;
         let (before, read) = (serde_json::to_value(&*self.in_force)?, serde_json::to_value(read)?);
         let mut after = before.clone();
-        T::AT_ONCE.iter().for_each(|field| put(&mut after, &read, field));
+        T::RELOADABLE.iter().for_each(|field| put(&mut after, &read, field));
         let change =
             Change { changed: differing(&before, &after), at_next_start: differing(&after, &read) };
         let in_force: T = serde_json::from_value(after)?;
--- a/src/cinderspoke/util/settings.rs
+++ b/src/cinderspoke/util/settings.rs
@@ -15,7 +15,7 @@
 pub trait Settings: DeserializeOwned + Serialize + Send + Sync + 'static {
     /// The fields, those of tables as `table.field`, that take effect while the
     /// program runs. All others do at its next start.
-    const AT_ONCE: &'static [&'static str];
+    const RELOADABLE: &'static [&'static str];
 
     /// Their schema.
     fn schema() -> Value;
@@ -25,7 +25,7 @@
 }
 
 impl Settings for Entry {
-    const AT_ONCE: &'static [&'static str] = &["log.filter"];
+    const RELOADABLE: &'static [&'static str] = &["log.filter"];
 
     fn schema() -> Value {
         text::entry_settings()
@@ -37,7 +37,7 @@
 }
 
 impl Settings for Agent {
-    const AT_ONCE: &'static [&'static str] = &["log.filter"];
+    const RELOADABLE: &'static [&'static str] = &["log.filter"];
 
     fn schema() -> Value {
         text::agent_settings()
@@ -49,7 +49,7 @@
 }
 
 impl Settings for Node {
-    const AT_ONCE: &'static [&'static str] =
+    const RELOADABLE: &'static [&'static str] =
         &["bounds", "limits.link_mbps", "log.filter", "regions", "seeds"];
 
     fn schema() -> Value {
@@ -100,7 +100,7 @@
 
 /// Where a process on a platform is reached by the system's other processes.
 #[must_use]
-pub fn inner_address(settings: &Node) -> SocketAddr {
+pub fn internal_address(settings: &Node) -> SocketAddr {
     SocketAddr::new(*settings.address, settings.ports.first.get())
 }
 
--- a/tests/testsuite/apply.rs
+++ b/tests/testsuite/apply.rs
@@ -1,6 +1,6 @@
 //! Changes of the configuration: as a whole, once, and never back.
 
-use cinderspoke::ops::client::{Admin, Refused};
+use cinderspoke::ops::client::{Admin, ApplyError};
 use cinderspoke::ops::{Console, status};
 use cinderspoke_core::object;
 use cinderspoke_schema::control::{ApplyRequest, Outcome, Part};
@@ -33,7 +33,7 @@
     let (left, right) = (request("left", 1, more), request("right", 1, fewer));
     let (left, right) = tokio::join!(admin.apply(&left), admin.apply(&right));
     assert!(left.is_ok() != right.is_ok(), "{left:?} {right:?}");
-    let Err(Refused::Problem { problem, .. }) = left.and(right) else {
+    let Err(ApplyError::Problem { problem, .. }) = left.and(right) else {
         panic!("no problem was told")
     };
     assert_eq!(problem.type_, "conflict");
--- a/tests/testsuite/awaited.rs
+++ b/tests/testsuite/awaited.rs
@@ -13,7 +13,7 @@
 use cinderspoke::agent::peers::{self, Giver};
 use cinderspoke::agent::shelf::Shelf;
 use cinderspoke::agent::transfer::{Context, Members, collect};
-use cinderspoke::util::pace::Pacer;
+use cinderspoke::util::pacer::Pacer;
 use cinderspoke_types::size;
 use http::StatusCode;
 use tokio::net::TcpListener;
--- a/tests/testsuite/clock.rs
+++ b/tests/testsuite/clock.rs
@@ -42,7 +42,7 @@
     let clock = Clock::start_suspended_by(&SUSPENDED);
     let deadline = clock.after(ms(10_000));
     let waiting = tokio::spawn(async move {
-        deadline.bound(std::future::pending::<()>()).await.expect_err("nothing comes");
+        deadline.timeout(std::future::pending::<()>()).await.expect_err("nothing comes");
         deadline.passed().await;
         Instant::now()
     });
@@ -59,10 +59,10 @@
 #[tokio::test(start_paused = true)]
 async fn what_comes_in_time_is_not_given_up() {
     let deadline = Clock::start().after(ms(3000));
-    let came = deadline.bound(async {
+    let came = deadline.timeout(async {
         sleep(ms(2900)).await;
         7
     });
     assert_eq!(came.await.ok(), Some(7));
-    assert!(deadline.bound(sleep(ms(101))).await.is_err());
+    assert!(deadline.timeout(sleep(ms(101))).await.is_err());
 }
--- a/tests/testsuite/silent_peer.rs
+++ b/tests/testsuite/silent_peer.rs
@@ -16,7 +16,7 @@
 use cinderspoke::agent::shelf::Shelf;
 use cinderspoke::agent::transfer::{Context, Members, collect};
 use cinderspoke::util::clock::Clock;
-use cinderspoke::util::pace::Pacer;
+use cinderspoke::util::pacer::Pacer;
 use cinderspoke_core::manifest::{Algorithm, Manifest};
 use cinderspoke_core::transfer::Policy;
 use cinderspoke_ports::client::Client;
