--- a/crates/ports/src/client.rs
+++ b/crates/ports/src/client.rs
@@ -271,7 +271,7 @@
         self.0.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Waits until no bytes have arrived for a time of `idle_timeout`.
+    /// Waits until no bytes have arrived for at least `idle_timeout`, at most twice that.
     pub async fn wait_stalled(&self, idle_timeout: Duration) {
         let mut before = None;
         while before != Some(self.bytes()) {
--- a/crates/ports/src/gateway/engine.rs
+++ b/crates/ports/src/gateway/engine.rs
@@ -16,7 +16,7 @@
     pub load: Report,
     /// The models whose weights are completely loaded, each with its version.
     pub models: Vec<(Model, Version)>,
-    /// Whether the engine is currently loading weights by an order.
+    /// Whether an order is in progress.
     pub busy: bool,
     /// The number of orders that the engine has accepted since its start.
     pub orders: u64,
@@ -57,8 +57,8 @@
 
     /// Orders the engine to load staged weights into its layers.
     ///
-    /// `orders` is [`EngineReport::orders`] as the caller knows it: the engine rejects the order
-    /// if it has accepted others in the meantime or restarted.
+    /// `orders` is [`EngineReport::orders`] as the caller knows it; the engine rejects the order if
+    /// its own count differs.
     async fn start_load(
         &self,
         model: &Model,
