--- a/crates/core/src/transfer/choice.rs
+++ b/crates/core/src/transfer/choice.rs
@@ -1,45 +1,48 @@
-//! Which chunk to draw next, and from whom.
+//! Selects the next chunk of a transfer and its source.
 //!
-//! Chunks come first from whoever has to bring them into a place, then from the
-//! origin by those that are the first to draw them, then from neighbours, and at
-//! last from the origin by the reserve.
+//! In this order: chunks that this instance imports into its region or zone from another one,
+//! chunks that it is assigned to fetch from the origin, chunks that neighbours hold, and last
+//! chunks that it fetches from the origin as a fallback.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cinderspoke_types::id::Instance;
 
-use super::{Fetching, Flight, Limits, Neighbour, Policy, Source, Step, Transfer};
+use super::{Download, Fetching, Limits, Neighbour, Policy, Source, Step, Transfer};
 use crate::bitmap::Bitmap;
 use crate::rendezvous::{Key, weight};
 use crate::swarm::Distance;
 
-/// The most chunks drawn from one peer at once.
-const PER_PEER: usize = 2;
+/// The maximum number of concurrent downloads from one peer.
+const PEER_DOWNLOADS: usize = 2;
 
-/// The most chunks that are waited for at once, to bring them into a place.
-const IMPORTS: usize = 16;
+/// The maximum number of chunks awaited at once from other zones and regions.
+const MAX_IMPORTS: usize = 16;
 
 impl Transfer<Fetching> {
-    /// What to do next.
+    /// Selects the next step and records its download as in flight. Callers repeat the call until
+    /// it returns [`Step::Wait`] or [`Step::Complete`].
     pub fn step(&mut self, now: Duration) -> Step {
         if self.state.held.is_full() {
             return Step::Complete;
         }
         if let Some((chunk, peer)) = self.import(now) {
             let source = Source::Peer(peer.clone());
-            self.state.in_flight.insert(chunk, Flight { source, awaited: true });
+            self.state.in_flight.insert(chunk, Download { source, awaited: true });
             return Step::Await { chunk, peer };
         }
-        let drawing = self.state.in_flight.values().filter(|flight| !flight.awaited).count();
-        if drawing >= self.window() {
+        let downloads = self.state.in_flight.values().filter(|flight| !flight.awaited).count();
+        if downloads >= self.window() {
             return Step::Wait;
         }
-        let choice =
-            self.own_draw(now).or_else(|| self.trade(now)).or_else(|| self.reserve_draw(now));
+        let choice = self
+            .assigned_fetch(now)
+            .or_else(|| self.peer_fetch(now))
+            .or_else(|| self.fallback_fetch(now));
         match choice {
             Some((chunk, source)) => {
-                let flight = Flight { source: source.clone(), awaited: false };
+                let flight = Download { source: source.clone(), awaited: false };
                 self.state.in_flight.insert(chunk, flight);
                 Step::Fetch { chunk, source }
             }
@@ -47,191 +50,198 @@
         }
     }
 
-    /// How many chunks are drawn at once.
+    /// The number of concurrent downloads allowed now.
     fn window(&self) -> usize {
         self.state.window as usize
     }
 
-    /// The chunks that are neither held nor on their way.
+    /// The chunks that are neither held nor in flight.
     fn missing(&self) -> impl Iterator<Item = usize> {
         let state = &self.state;
         (0..self.manifest.chunks())
             .filter(|chunk| !state.held.contains(*chunk) && !state.in_flight.contains_key(chunk))
     }
 
-    /// Whether so many times the patience have passed without a chunk.
+    /// Whether so many fallback timeouts have passed without the chunk.
     ///
-    /// Where chunks have turns, each is waited for by itself: others may keep
-    /// coming while the one that was to draw it stands still.
-    fn has_waited(&self, chunk: usize, turns: u32, now: Duration) -> bool {
+    /// Without a schedule for the origin, the time counts from the last chunk accepted. With one,
+    /// it counts from the chunk's own slot, because other chunks may keep arriving while the
+    /// instance assigned to this one is stalled.
+    fn has_timed_out(&self, chunk: usize, timeouts: u32, now: Duration) -> bool {
         let Limits { spacing, fallback_timeout, .. } = self.state.limits;
         let since = match spacing.is_zero() {
-            true => self.state.progress,
-            false => self.state.started + spacing.saturating_mul(turn(chunk + 1)),
+            true => self.state.last_progress,
+            false => self.state.started + spacing.saturating_mul(slot(chunk + 1)),
         };
-        now.saturating_sub(since) >= fallback_timeout.saturating_mul(turns)
+        now.saturating_sub(since) >= fallback_timeout.saturating_mul(timeouts)
     }
 
-    /// A chunk that this instance has to bring into its region or zone, and from whom.
+    /// The next chunk that this instance imports into its region or zone, and the peer to await
+    /// it from.
     fn import(&self, now: Duration) -> Option<(usize, Instance)> {
         let awaited = self.state.in_flight.values().filter(|flight| flight.awaited).count();
-        let narrow = self.window() < self.state.limits.downloads;
-        if awaited >= if narrow { 1 } else { IMPORTS } {
+        let is_congested = self.window() < self.state.limits.downloads;
+        if awaited >= if is_congested { 1 } else { MAX_IMPORTS } {
             return None;
         }
         let due = |chunk: &usize| {
             let role = &self.state.roles[*chunk];
-            let turn = role.import_after.is_some_and(|turns| self.has_waited(*chunk, turns, now));
-            turn && !role.fetches
-                && self.is_due(*chunk, now)
+            let imports =
+                role.import_after.is_some_and(|timeouts| self.has_timed_out(*chunk, timeouts, now));
+            imports && !role.fetches
+                && self.is_scheduled(*chunk, now)
                 && self.holders(*chunk, now).next().is_none()
-                // Whoever is always waiting for a chunk never steps in for it.
-                && !(self.steps_in(*chunk, now) && now >= self.state.origin_rests_until)
+                // An awaited chunk is in flight, so that the fallback would never fetch it.
+                && !(self.is_fallback_due(*chunk, now) && now >= self.state.origin_backoff_until)
         };
         let mut due = self.missing().filter(due);
         due.find_map(|chunk| Some((chunk, self.import_source(chunk, now)?)))
     }
 
-    /// Whom to ask for a chunk next; `None` while the one in turn is left alone.
+    /// The peer to await a chunk from; each failure moves on to the next source. `None` if there
+    /// are no sources, or after a round of failures until the fallback timeout.
     fn import_source(&self, chunk: usize, now: Duration) -> Option<Instance> {
         let sources = &self.state.roles[chunk].sources;
         let failures = self.state.failures.get(&chunk).copied().unwrap_or_default();
-        // After a round of failures, only the patient are asked again.
-        if failures >= sources.len() && !self.has_waited(chunk, 1, now) {
+        // Once every source has failed, the round starts again only after the timeout.
+        if failures >= sources.len() && !self.has_timed_out(chunk, 1, now) {
             return None;
         }
         let number = *sources.get(failures.checked_rem(sources.len())?)?;
         Some(self.state.swarm.peer(number)?.instance.clone())
     }
 
-    /// A chunk that this instance is the first to draw from the origin.
-    fn own_draw(&self, now: Duration) -> Option<(usize, Source)> {
-        if !self.origin_is_open(now) {
+    /// A chunk that this instance is assigned to fetch from the origin.
+    fn assigned_fetch(&self, now: Duration) -> Option<(usize, Source)> {
+        if !self.origin_is_available(now) {
             return None;
         }
-        // Whoever joins late finds chunks nearby that were drawn long ago.
-        let near = |chunk: &usize| self.holders(*chunk, now).next().is_some();
-        let turn = |chunk: &usize| self.is_due(*chunk, now);
-        let own = |chunk: &usize| self.state.roles[*chunk].fetches && turn(chunk) && !near(chunk);
-        self.missing().find(own).map(|chunk| (chunk, Source::Origin))
+        // An instance that joins late takes chunks from peers that fetched them long ago.
+        let nearby = |chunk: &usize| self.holders(*chunk, now).next().is_some();
+        let due = |chunk: &usize| self.is_scheduled(*chunk, now);
+        let assigned =
+            |chunk: &usize| self.state.roles[*chunk].fetches && due(chunk) && !nearby(chunk);
+        self.missing().find(assigned).map(|chunk| (chunk, Source::Origin))
     }
 
-    /// Whether it is a chunk's turn to be drawn from the origin.
-    fn is_due(&self, chunk: usize, now: Duration) -> bool {
+    /// Whether the slot of a chunk in the schedule for the origin has started.
+    fn is_scheduled(&self, chunk: usize, now: Duration) -> bool {
         let spacing = self.state.limits.spacing;
-        if now >= self.state.started + spacing.saturating_mul(turn(chunk)) {
+        if now >= self.state.started + spacing.saturating_mul(slot(chunk)) {
             return true;
         }
-        // Whoever starts late finds by what others hold how far the turns are.
+        // An instance that starts late infers the position in the schedule from the chunks that
+        // its peers hold.
         let later = |held: &Bitmap| (chunk + 1..held.len()).any(|later| held.contains(later));
         !spacing.is_zero() && self.state.peers.values().any(|peer| later(&peer.held))
     }
 
-    /// A chunk that has stayed away so long that the reserve steps in.
-    fn reserve_draw(&self, now: Duration) -> Option<(usize, Source)> {
-        if !self.origin_is_open(now) {
+    /// A chunk that this instance fetches from the origin as a fallback, since it has timed out.
+    fn fallback_fetch(&self, now: Duration) -> Option<(usize, Source)> {
+        if !self.origin_is_available(now) {
             return None;
         }
         let due = |chunk: &usize| {
-            self.steps_in(*chunk, now) && self.holders(*chunk, now).next().is_none()
+            self.is_fallback_due(*chunk, now) && self.holders(*chunk, now).next().is_none()
         };
         self.missing().find(due).map(|chunk| (chunk, Source::Origin))
     }
 
-    /// Whether it is this instance's turn to draw a chunk that has stayed away.
-    fn steps_in(&self, chunk: usize, now: Duration) -> bool {
+    /// Whether a chunk has timed out so often that this instance is the fallback to fetch it.
+    fn is_fallback_due(&self, chunk: usize, now: Duration) -> bool {
         let Fetching { limits, started, origin_failed, recovery, .. } = &self.state;
-        let Some(turns) = self.state.roles[chunk].fallback_after else { return false };
+        let Some(timeouts) = self.state.roles[chunk].fallback_after else { return false };
         let Limits { spacing, fallback_timeout, .. } = *limits;
-        // After a failure of the origin, the reserve waits until the origin could have delivered
-        // every missing chunk, so that it does not duplicate draws by the assigned instances.
+        // After a failure of the origin, the fallback waits until the origin could have delivered
+        // every missing chunk, so that it does not duplicate fetches by the assigned instances.
         let began = (*origin_failed).max(recovery.map_or(Duration::ZERO, |recovery| recovery.at));
         if began <= *started || spacing.is_zero() {
-            return self.has_waited(chunk, turns, now);
+            return self.has_timed_out(chunk, timeouts, now);
         }
         let missing = match recovery {
             Some(recovery) if recovery.at >= *origin_failed => recovery.missing,
             _ => self.state.held.len() - self.state.held.count(),
         };
-        let since = began + spacing.saturating_mul(turn(missing));
-        now.saturating_sub(since) >= fallback_timeout.saturating_mul(turns)
+        let since = began + spacing.saturating_mul(slot(missing));
+        now.saturating_sub(since) >= fallback_timeout.saturating_mul(timeouts)
     }
 
-    /// Whether the origin can be asked for one more chunk.
-    fn origin_is_open(&self, now: Duration) -> bool {
-        now >= self.state.origin_rests_until
-            && self.drawn_from(&Source::Origin) < self.state.limits.origin_downloads
+    /// Whether the origin accepts one more download: it is not in back-off and below its limit.
+    fn origin_is_available(&self, now: Duration) -> bool {
+        now >= self.state.origin_backoff_until
+            && self.downloads_from(&Source::Origin) < self.state.limits.origin_downloads
     }
 
-    /// A chunk that a neighbour can give, sparing those that have given nearly a
-    /// whole copy while others can give.
-    fn trade(&self, now: Duration) -> Option<(usize, Source)> {
-        let busy = self.busy();
-        // What is known of a neighbour's giving lags, so the share ends early.
+    /// A chunk to fetch from a neighbour. Neighbours that have sent nearly a whole copy are used
+    /// only if no other neighbour can send a chunk.
+    fn peer_fetch(&self, now: Duration) -> Option<(usize, Source)> {
+        let busy = self.peer_downloads();
+        // Neighbours' reports of the bytes they have sent lag, so the share is less than a copy.
         let share = self.manifest.size().as_u64() / 10 * 9;
-        self.trade_below(share, &busy, now).or_else(|| self.trade_below(u64::MAX, &busy, now))
+        self.peer_fetch_below(share, &busy, now)
+            .or_else(|| self.peer_fetch_below(u64::MAX, &busy, now))
     }
 
-    /// The rarest chunk among neighbours that have given at most `share`; ties
-    /// are broken differently on each instance, so that neighbours have
-    /// something to trade.
-    fn trade_below(
+    /// The rarest chunk among neighbours that have sent at most `share` bytes. Ties are broken
+    /// differently on each instance, so that neighbours hold different chunks to exchange.
+    fn peer_fetch_below(
         &self,
         share: u64,
         busy: &BTreeMap<&Instance, usize>,
         now: Duration,
     ) -> Option<(usize, Source)> {
-        let drawn = |peer: &Instance| busy.get(peer).copied().unwrap_or_default();
-        let free =
-            |peer: &Instance, giver: &Neighbour| drawn(peer) < PER_PEER && giver.given <= share;
-        let holders = |chunk| self.holders(chunk, now).filter(|(peer, giver)| free(peer, giver));
+        let downloads = |peer: &Instance| busy.get(peer).copied().unwrap_or_default();
+        let free = |peer: &Instance, holder: &Neighbour| {
+            downloads(peer) < PEER_DOWNLOADS && holder.given <= share
+        };
+        let holders = |chunk| self.holders(chunk, now).filter(|(peer, holder)| free(peer, holder));
         let counted = self.missing().map(|chunk| (chunk, holders(chunk).count()));
-        let given = counted.filter(|(_, copies)| *copies > 0);
-        let (chunk, _) = given.min_by_key(|(chunk, copies)| {
-            (*copies, weight(self.state.own, Key::of_number(*chunk as u64)))
+        let available = counted.filter(|(_, copies)| *copies > 0);
+        let (chunk, _) = available.min_by_key(|(chunk, copies)| {
+            (*copies, weight(self.state.tie_break, Key::of_number(*chunk as u64)))
         })?;
         let (peer, _) = holders(chunk)
-            .min_by_key(|(peer, giver)| (giver.distance, drawn(peer), giver.given))?;
+            .min_by_key(|(peer, holder)| (holder.distance, downloads(peer), holder.given))?;
         Some((chunk, Source::Peer(peer.clone())))
     }
 
-    /// The neighbours that hold a chunk and can be asked now.
+    /// The neighbours that hold a chunk and are not in back-off.
     ///
-    /// Those beyond the zone count only once a chunk has stayed away for long,
-    /// so that links between places carry a chunk about once.
+    /// Neighbours in other zones count only once the chunk has timed out, so that links between
+    /// zones and regions carry each chunk about once.
     fn holders(
         &self,
         chunk: usize,
         now: Duration,
     ) -> impl Iterator<Item = (&Instance, &Neighbour)> {
         let tree = self.state.policy == Policy::Tree;
-        let far = tree || self.has_waited(chunk, 1, now);
+        let far = tree || self.has_timed_out(chunk, 1, now);
         self.state.peers.iter().filter(move |(_, neighbour)| {
-            now >= neighbour.rests_until
+            now >= neighbour.backoff_until
                 && (far || neighbour.distance == Distance::Zone)
                 && (!tree || neighbour.held.is_full())
                 && neighbour.held.contains(chunk)
         })
     }
 
-    /// How many chunks are being drawn from a source.
-    fn drawn_from(&self, source: &Source) -> usize {
+    /// The number of downloads in flight from a source.
+    fn downloads_from(&self, source: &Source) -> usize {
         self.state.in_flight.values().filter(|flight| flight.source == *source).count()
     }
 
-    /// How many chunks are being drawn from each peer.
-    fn busy(&self) -> BTreeMap<&Instance, usize> {
-        let mut busy = BTreeMap::new();
+    /// The number of downloads in flight from each peer, without awaited chunks.
+    fn peer_downloads(&self) -> BTreeMap<&Instance, usize> {
+        let mut downloads = BTreeMap::new();
         for flight in self.state.in_flight.values().filter(|flight| !flight.awaited) {
             if let Source::Peer(peer) = &flight.source {
-                *busy.entry(peer).or_default() += 1;
+                *downloads.entry(peer).or_default() += 1;
             }
         }
-        busy
+        downloads
     }
 }
 
-/// A chunk's turn to be drawn.
-fn turn(chunk: usize) -> u32 {
+/// The slot of a chunk in the schedule for the origin, as a multiple of the spacing.
+fn slot(chunk: usize) -> u32 {
     u32::try_from(chunk).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/transfer/mod.rs
+++ b/crates/core/src/transfer/mod.rs
@@ -1,8 +1,9 @@
-//! Transfers: which chunk to draw next, and from whom.
+//! Transfers of weights to an instance, chunk by chunk.
 //!
-//! A [`Transfer`] in the state [`Fetching`] collects chunks; only one whose
-//! whole has been verified becomes [`Verified`], and only that can be loaded.
-//! What to draw next is decided in `choice`.
+//! A [`Transfer`] in the state [`Fetching`] collects chunks. It becomes
+//! [`Verified`] once the digest of the complete weights matches the manifest,
+//! and only verified weights can be loaded. The module `choice` selects the
+//! next chunk and the source to fetch it from.
 
 mod choice;
 
@@ -19,29 +20,30 @@
 use crate::rendezvous::Key;
 use crate::swarm::{Distance, Role, Swarm};
 
-/// How long a source that failed is left alone, unless a transfer is in more of a hurry.
+/// The default of [`Limits::source_backoff`].
 pub const SOURCE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The most chunks drawn from the origin at once where it does not say how many
-/// connections it takes.
+/// The default of [`Limits::origin_downloads`], for an origin that does not declare how many
+/// connections it accepts.
 pub const ORIGIN_DOWNLOADS: usize = 4;
 
-/// By how much each chunk that comes in time lets more be drawn at once.
-const WIDEN: f64 = 0.25;
+/// The number of concurrent downloads that each chunk received in time adds to the window.
+const WINDOW_INCREMENT: f64 = 0.25;
 
-/// How an instance chooses what to draw from whom.
+/// How an instance chooses the source of each chunk.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Chunks, each drawn once from the origin, traded among neighbours.
+    /// Each chunk is fetched once from the origin, then exchanged between peers.
     #[default]
     Swarm,
-    /// Everything from the origin: a baseline.
+    /// Every chunk is fetched from the origin. A baseline for comparison.
     OriginOnly,
-    /// Whole weights from a parent in a binary tree: a baseline.
+    /// Chunks are fetched from the parent in a binary tree of instances, once the parent holds
+    /// all of them. A baseline for comparison.
     Tree,
 }
 
-/// Where a chunk comes from.
+/// Where a chunk is fetched from.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The origin of weights.
@@ -53,38 +55,38 @@
 /// What a transfer does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Draw a chunk that the source holds.
+    /// Fetch a chunk that the source holds.
     Fetch {
         /// The chunk's number.
         chunk: usize,
-        /// From where.
+        /// Where to fetch it from.
         source: Source,
     },
-    /// Ask a peer for a chunk that it may not hold yet, and wait for it.
+    /// Request a chunk from a peer that may not hold it yet, and wait until the peer does.
     Await {
         /// The chunk's number.
         chunk: usize,
-        /// From whom.
+        /// The peer to request it from.
         peer: Instance,
     },
-    /// Nothing can be drawn now.
+    /// Nothing can be fetched now.
     Wait,
-    /// Every chunk is held: the whole can be verified.
+    /// Every chunk is held, and the complete weights can be verified.
     Complete,
 }
 
-/// What became of a chunk that arrived.
+/// How a transfer classifies a received chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// It is right and new: keep it.
+    /// The digest matches and the chunk is new; the caller stores it.
     Accepted,
-    /// Its digest is wrong: drop it.
+    /// The digest differs from the manifest's; the caller drops the chunk.
     Corrupt,
-    /// It is held already, or not part of these weights: drop it.
+    /// The chunk is already held or not part of these weights; the caller drops it.
     Unwanted,
 }
 
-/// The whole of some weights does not fit its manifest.
+/// The complete weights do not match their manifest.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
 #[displaydoc("the whole of {manifest} has the digest {found}")]
 pub struct Mismatch {
@@ -94,51 +96,53 @@
 
 impl std::error::Error for Mismatch {}
 
-/// State of a transfer that still collects chunks.
+/// The state of a transfer that still collects chunks.
 #[derive(Debug)]
 pub struct Fetching {
     policy: Policy,
     limits: Limits,
     swarm: Swarm,
-    // By chunk.
+    // Indexed by chunk.
     roles: Vec<Role>,
     held: Bitmap,
-    in_flight: BTreeMap<usize, Flight>,
-    // How often bringing a chunk in has failed, by chunk.
+    in_flight: BTreeMap<usize, Download>,
+    // The number of failed requests with `Step::Await`, by chunk.
     failures: BTreeMap<usize, usize>,
     peers: BTreeMap<Instance, Neighbour>,
-    origin_rests_until: Duration,
-    // How many chunks are drawn at once, between one and the limit.
+    origin_backoff_until: Duration,
+    // The number of concurrent downloads, between one and `Limits::downloads`.
     window: f64,
-    // When a chunk last arrived.
-    progress: Duration,
-    // From when on chunks have their turns at the origin.
+    // When a chunk was last accepted.
+    last_progress: Duration,
+    // The start of the transfer, and of the schedule for fetches from the origin.
     started: Duration,
     // When the origin last failed.
     origin_failed: Duration,
     // The first chunk accepted after a failure of the origin.
     recovery: Option<Recovery>,
-    // By what ties are broken differently on each instance.
-    own: Key,
+    // Breaks ties differently on each instance.
+    tie_break: Key,
 }
 
-/// How much a transfer draws at once, and how long it waits.
+/// Concurrency and timeouts of a transfer.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// The most chunks drawn at once.
+    /// The maximum number of concurrent downloads.
     pub downloads: usize,
-    /// The most chunks drawn from the origin at once.
+    /// The maximum number of concurrent downloads from the origin.
     pub origin_downloads: usize,
-    /// The time that the origin's link takes for a chunk: each is drawn in its
-    /// turn, so that the first ones come to peers early. Zero for no turns.
+    /// The time that the origin's link takes to transfer a chunk. Fetches from the origin are
+    /// scheduled this far apart in the order of the chunks, so that peers get the first chunks
+    /// early. Zero disables the schedule.
     pub spacing: Duration,
-    /// How long a source that failed is left alone.
+    /// How long a source gets no requests after it failed.
     pub source_backoff: Duration,
-    /// A chunk that takes longer than this tells of a link that carries less
-    /// than it should: fewer are drawn at once then, since requests go over it
-    /// too. `None` where that is no concern.
+    /// A chunk that takes longer than this indicates a congested link. The transfer then reduces
+    /// its concurrent downloads, since inference requests use the same link. `None` disables the
+    /// reduction.
     pub slow_chunk: Option<Duration>,
-    /// How long to wait for those that come first before stepping in.
+    /// How long to wait for a chunk from the assigned instances before the next fallback acts.
+    /// [`Role`] counts in multiples of it.
     pub fallback_timeout: Duration,
 }
 
@@ -146,29 +150,30 @@
 #[derive(Debug, Clone, Copy)]
 struct Recovery {
     at: Duration,
-    // The number of chunks not held at that time, including this one.
+    // The number of chunks missing at that time, including this one.
     missing: usize,
 }
 
-/// A chunk on its way.
+/// A chunk that has been requested and not yet received.
 #[derive(Debug)]
-struct Flight {
+struct Download {
     source: Source,
-    // Whether the source may not hold the chunk yet.
+    // Whether the peer may not hold the chunk yet (`Step::Await`).
     awaited: bool,
 }
 
-/// State of a transfer whose whole has been verified.
+/// The state of a transfer whose complete weights have been verified.
 #[derive(Debug)]
 pub struct Verified;
 
-/// A peer that chunks are traded with.
+/// A peer that this instance exchanges chunks with.
 #[derive(Debug)]
 struct Neighbour {
     held: Bitmap,
+    // The number of bytes that the peer has sent to others, as it last reported.
     given: u64,
     distance: Distance,
-    rests_until: Duration,
+    backoff_until: Duration,
 }
 
 /// The transfer of one version's weights to this instance.
@@ -200,15 +205,15 @@
         let state = Fetching {
             policy,
             limits,
-            own: Key::of(swarm.own().instance.as_str()),
+            tie_break: Key::of(swarm.own().instance.as_str()),
             swarm: swarm.clone(),
             roles: Vec::new(),
             held: Bitmap::new(chunks),
             in_flight: BTreeMap::new(),
             failures: BTreeMap::new(),
             peers: BTreeMap::new(),
-            origin_rests_until: Duration::ZERO,
-            progress: now,
+            origin_backoff_until: Duration::ZERO,
+            last_progress: now,
             started: now,
             origin_failed: Duration::ZERO,
             recovery: None,
@@ -219,7 +224,8 @@
         transfer
     }
 
-    /// Takes in the swarm's members as they are now.
+    /// Replaces the members of the swarm and computes the roles anew. What is known of peers that
+    /// stay neighbours is kept.
     pub fn set_swarm(&mut self, swarm: Swarm) {
         let chunks = self.manifest.chunks();
         let state = &mut self.state;
@@ -230,7 +236,7 @@
                 held: Bitmap::new(chunks),
                 given: 0,
                 distance: swarm.distance(peer),
-                rests_until: Duration::ZERO,
+                backoff_until: Duration::ZERO,
             };
             let neighbour = known.remove(&peer.instance).unwrap_or_else(fresh);
             state.peers.insert(peer.instance.clone(), neighbour);
@@ -238,24 +244,24 @@
         state.swarm = swarm;
     }
 
-    /// The peers whose holdings the transfer has to know.
+    /// The peers whose held chunks the transfer needs to follow.
     #[must_use]
     pub fn neighbours(&self) -> Vec<&Peer> {
         neighbours(self.state.policy, &self.state.swarm)
     }
 
-    /// The swarm of which the transfer is part.
+    /// The swarm that the transfer belongs to.
     #[must_use]
     pub fn swarm(&self) -> &Swarm {
         &self.state.swarm
     }
 
-    /// Takes in a chunk that is held from elsewhere, such as an older version.
+    /// Records a chunk that the instance already holds, for instance from an older version.
     pub fn record_held(&mut self, chunk: usize) {
         self.state.held.insert(chunk);
     }
 
-    /// Takes in which chunks a peer holds, and how many bytes it has given.
+    /// Records which chunks a peer holds, and how many bytes it has sent to others (`given`).
     pub fn record_peer(&mut self, peer: &Instance, held: &Bitmap, given: u64) {
         if let Some(neighbour) = self.state.peers.get_mut(peer) {
             neighbour.held = held.resized(self.manifest.chunks());
@@ -263,14 +269,14 @@
         }
     }
 
-    /// Takes in a chunk that arrived, by the digest of its bytes.
+    /// Records a received chunk, given the digest of its bytes.
     pub fn record_chunk(&mut self, chunk: usize, digest: Digest, now: Duration) -> Arrival {
         let flight = self.state.in_flight.remove(&chunk);
         if self.state.held.contains(chunk) || chunk >= self.manifest.chunks() {
             return Arrival::Unwanted;
         }
         if self.manifest.chunk(chunk) != Some(digest) {
-            self.penalise(chunk, flight, now);
+            self.back_off(chunk, flight, now);
             return Arrival::Corrupt;
         }
         let Fetching { held, origin_failed, recovery, .. } = &mut self.state;
@@ -278,50 +284,53 @@
             *recovery = Some(Recovery { at: now, missing: held.len() - held.count() });
         }
         held.insert(chunk);
-        self.state.progress = now;
+        self.state.last_progress = now;
         Arrival::Accepted
     }
 
-    /// Takes in that a chunk did not come.
+    /// Records that fetching a chunk failed.
     pub fn record_failure(&mut self, chunk: usize, now: Duration) {
         let flight = self.state.in_flight.remove(&chunk);
-        self.penalise(chunk, flight, now);
+        self.back_off(chunk, flight, now);
     }
 
-    /// Takes in how long a chunk was on its way that its source held.
+    /// Records how long the download of a chunk took, from a source that held it, and adapts the
+    /// number of concurrent downloads: additive increase, multiplicative decrease.
     pub fn record_download_time(&mut self, time: Duration) {
         let Limits { slow_chunk, downloads, .. } = self.state.limits;
         let Some(slow_chunk) = slow_chunk else { return };
         let window = &mut self.state.window;
-        *window = if time > slow_chunk { *window / 2.0 } else { *window + WIDEN };
+        *window = if time > slow_chunk { *window / 2.0 } else { *window + WINDOW_INCREMENT };
         *window = window.clamp(1.0, downloads as f64);
     }
 
-    /// Leaves a source alone for a while; the next one is asked for an awaited chunk.
-    fn penalise(&mut self, chunk: usize, flight: Option<Flight>, now: Duration) {
-        let Some(Flight { source, awaited }) = flight else { return };
+    /// Starts the back-off of the source of a failed download. For an awaited chunk, the failure
+    /// also selects the next source.
+    fn back_off(&mut self, chunk: usize, flight: Option<Download>, now: Duration) {
+        let Some(Download { source, awaited }) = flight else { return };
         let backoff = self.state.limits.source_backoff;
         if awaited {
             *self.state.failures.entry(chunk).or_default() += 1;
         }
         match source {
             Source::Origin => {
-                self.state.origin_rests_until = now + backoff;
+                self.state.origin_backoff_until = now + backoff;
                 self.state.origin_failed = now;
             }
             Source::Peer(peer) => {
                 if let Some(neighbour) = self.state.peers.get_mut(&peer) {
-                    neighbour.rests_until = now + backoff;
+                    neighbour.backoff_until = now + backoff;
                 }
             }
         }
     }
 
-    /// Checks the whole by its digest.
+    /// Verifies the complete weights by their digest.
     ///
     /// # Errors
     ///
-    /// When the digest is not the manifest's; the transfer is given up then.
+    /// When a chunk is missing or the digest differs from the manifest's. The transfer is then
+    /// lost.
     pub fn verify(self, whole: Digest) -> Result<Transfer<Verified>, Mismatch> {
         if self.state.held.is_full() && whole == self.manifest.whole() {
             Ok(Transfer { manifest: self.manifest, state: Verified })
@@ -331,7 +340,7 @@
     }
 }
 
-/// What a policy lets an instance do about a chunk.
+/// The role of this instance for a chunk under a policy.
 fn role(policy: Policy, swarm: &Swarm, chunk: usize) -> Role {
     let fetches = match policy {
         Policy::Swarm => return swarm.role(chunk),
@@ -341,7 +350,7 @@
     Role { fetches, fallback_after: None, import_after: None, sources: Vec::new() }
 }
 
-/// The peers whose holdings a policy asks for.
+/// The peers whose held chunks matter under a policy.
 fn neighbours(policy: Policy, swarm: &Swarm) -> Vec<&Peer> {
     match policy {
         Policy::Swarm => swarm.neighbours(),
