--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -1,8 +1,11 @@
-//! Replicas on one instance: from the orders of a plan to steps with weights.
+//! The replicas on one instance: turns the orders of a plan into steps for the agent.
 //!
-//! Weights are loaded beside those in use, and a service switches to them in
-//! one step once they are loaded whole. Weights that no service uses any more
-//! are drained, then unloaded.
+//! New weights are loaded beside those in use. A service switches to them
+//! atomically once they are completely loaded. Weights that no service uses
+//! any more are drained, then unloaded.
+//!
+//! [`Replicas`] tracks the stage of each version's weights. The agent carries
+//! out each [`Step`] and records its result.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,15 +15,15 @@
 use cinderspoke_types::id::Service;
 use cinderspoke_types::size::Bytes;
 
-/// The most versions that are collected at once; others wait their turn.
-const TRANSFERS: usize = 2;
+/// The maximum number of versions fetched at once; the others are queued.
+const MAX_TRANSFERS: usize = 2;
 
 /// What the agent does next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Collect the chunks of some weights and verify them.
+    /// Fetch the chunks of some weights and verify them.
     Fetch(Weights),
-    /// Give up collecting, and drop what has been collected.
+    /// Cancel a fetch, and drop the chunks fetched so far or the verified weights.
     Abandon(Digest),
     /// Order the engine to load verified weights.
     Load {
@@ -40,16 +43,16 @@
     },
 }
 
-/// What became of a set of orders.
+/// Whether a set of orders was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// They are at least as new as those known.
+    /// They are at least as new as the known ones.
     Accepted,
-    /// They are older than those known, and ignored.
+    /// They are older than the known ones and were ignored.
     Stale,
 }
 
-/// How far some weights have come.
+/// The stage of some weights, from fetch to unload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Fetching,
@@ -69,7 +72,7 @@
 
 #[derive(Debug)]
 struct Replica {
-    // `None` for a plain service, or when no more requests are wanted.
+    // The weights ordered; `None` for a plain service.
     wanted: Option<Weights>,
     // Invariant: the weights named here are in the stage `Loaded`.
     serving: Option<Digest>,
@@ -79,7 +82,7 @@
     may_drain: bool,
 }
 
-/// All replicas of an instance.
+/// All replicas of an instance and the weights that they use.
 #[derive(Debug)]
 pub struct Replicas {
     memory: Bytes,
@@ -89,7 +92,7 @@
 }
 
 impl Replicas {
-    /// No replicas yet, on an endpoint with room for `memory` of weights.
+    /// Creates the state of an endpoint without replicas, with `memory` for weights.
     #[must_use]
     pub fn new(memory: Bytes) -> Self {
         Self { memory, fence: Fence::default(), replicas: BTreeMap::new(), held: BTreeMap::new() }
@@ -101,13 +104,13 @@
         self.fence
     }
 
-    /// Takes in weights that the engine reports as loaded whole, at the start.
+    /// Records weights that the engine reports as completely loaded when the agent starts.
     pub fn restore_loaded(&mut self, weights: Weights) {
         let manifest = weights.manifest;
         self.held.insert(manifest, Held { weights, stage: Stage::Loaded });
     }
 
-    /// Takes in the orders of a plan.
+    /// Applies the orders of a plan, unless their fence is older than the newest one known.
     pub fn apply_orders(&mut self, fence: Fence, orders: &[Order]) -> Verdict {
         if fence < self.fence {
             return Verdict::Stale;
@@ -135,37 +138,37 @@
         Verdict::Accepted
     }
 
-    /// Takes in that weights have been verified whole.
+    /// Records that the complete weights have been verified.
     pub fn record_verified(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Fetching, Stage::Verified);
     }
 
-    /// Takes in that weights could not be collected: they will be tried anew.
+    /// Records that fetching weights failed; they are fetched again.
     pub fn record_fetch_failure(&mut self, manifest: Digest) {
         self.held.retain(|digest, held| *digest != manifest || held.stage != Stage::Fetching);
     }
 
-    /// Takes in that the engine has loaded weights whole.
+    /// Records that the engine has completely loaded weights.
     pub fn record_loaded(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Loading, Stage::Loaded);
     }
 
-    /// Takes in that the engine did not load weights: they will be ordered anew.
+    /// Records that the engine failed to load weights; the load is ordered again.
     pub fn record_load_failure(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Loading, Stage::Verified);
     }
 
-    /// Takes in that no request uses weights any more.
+    /// Records that no request uses the weights any more.
     pub fn record_drained(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Draining, Stage::Drained);
     }
 
-    /// Takes in that the engine did not unload weights: it will be ordered anew.
+    /// Records that the engine failed to unload weights; the unload is ordered again.
     pub fn record_unload_failure(&mut self, manifest: Digest) {
         self.advance(manifest, Stage::Unloading, Stage::Drained);
     }
 
-    /// Takes in that the engine has unloaded weights.
+    /// Records that the engine has unloaded weights.
     pub fn record_unloaded(&mut self, manifest: Digest) {
         self.held.retain(|digest, held| *digest != manifest || held.stage != Stage::Unloading);
     }
@@ -178,10 +181,10 @@
         }
     }
 
-    /// What to do next; each step is given once.
+    /// Returns the next steps. Each step is returned once.
     pub fn steps(&mut self) -> Vec<Step> {
         self.switch();
-        self.make_room();
+        self.free_memory();
         let wanted = self.wanted();
         let mut steps = self.fetch_wanted(&wanted);
         steps.extend(self.drop_unwanted(&wanted));
@@ -189,7 +192,8 @@
         steps
     }
 
-    /// Moves services to the weights that they want, where those are loaded.
+    /// Switches services to the ordered weights if these are loaded, and removes services that are
+    /// no longer ordered.
     fn switch(&mut self) {
         for replica in self.replicas.values_mut() {
             let wanted = replica.wanted.as_ref().map(|weights| weights.manifest);
@@ -206,10 +210,10 @@
         self.replicas.retain(|_, replica| replica.ordered);
     }
 
-    /// Stops answering with old weights where that is allowed and the new ones,
-    /// verified, have no room beside them.
-    fn make_room(&mut self) {
-        let used = self.used();
+    /// Stops serving with the old weights where the plan allows it and the new, verified weights do
+    /// not fit into memory beside them.
+    fn free_memory(&mut self) {
+        let used = self.memory_used();
         for replica in self.replicas.values_mut().filter(|replica| replica.may_drain) {
             let waiting =
                 replica.wanted.as_ref().and_then(|weights| self.held.get(&weights.manifest));
@@ -227,8 +231,8 @@
         wanted.map(|weights| (weights.manifest, weights)).collect()
     }
 
-    /// Starts transfers: urgent services first, then the smallest weights, so
-    /// that all members of a swarm turn to the same ones.
+    /// Starts transfers: those of the most urgent services first, then the smallest weights, so
+    /// that all members of a swarm fetch the same weights at the same time.
     fn fetch_wanted(&mut self, wanted: &BTreeMap<Digest, Weights>) -> Vec<Step> {
         let mut missing: Vec<_> =
             wanted.values().filter(|weights| !self.held.contains_key(&weights.manifest)).collect();
@@ -237,7 +241,7 @@
         });
         let fetching = self.held.values().filter(|held| held.stage == Stage::Fetching).count();
         let mut steps = Vec::new();
-        for weights in missing.into_iter().take(TRANSFERS.saturating_sub(fetching)) {
+        for weights in missing.into_iter().take(MAX_TRANSFERS.saturating_sub(fetching)) {
             let held = Held { weights: weights.clone(), stage: Stage::Fetching };
             self.held.insert(weights.manifest, held);
             steps.push(Step::Fetch(weights.clone()));
@@ -245,7 +249,7 @@
         steps
     }
 
-    /// The most urgent priority of the services that want some weights.
+    /// The most urgent priority among the services that are ordered to use some weights.
     fn urgency(&self, manifest: Digest) -> Option<Priority> {
         let wants = |replica: &&Replica| {
             replica.wanted.as_ref().is_some_and(|weights| weights.manifest == manifest)
@@ -283,7 +287,7 @@
         for (manifest, weights) in wanted {
             let verified =
                 self.held.get(manifest).is_some_and(|held| held.stage == Stage::Verified);
-            if verified && self.used() + weights.size <= self.memory {
+            if verified && self.memory_used() + weights.size <= self.memory {
                 self.advance(*manifest, Stage::Verified, Stage::Loading);
                 steps.push(Step::Load { weights: weights.clone(), fence: self.fence });
             }
@@ -291,13 +295,13 @@
         steps
     }
 
-    /// The memory of the endpoint that weights take.
-    fn used(&self) -> Bytes {
+    /// The endpoint's memory that weights occupy.
+    fn memory_used(&self) -> Bytes {
         let in_engine = |held: &&Held| !matches!(held.stage, Stage::Fetching | Stage::Verified);
         self.held.values().filter(in_engine).map(|held| held.weights.size).sum()
     }
 
-    /// The weights with which requests for a service are answered now.
+    /// The weights that serve the requests for a service now.
     #[must_use]
     pub fn serving(&self, service: &Service) -> Serving {
         match self.replicas.get(service) {
@@ -307,7 +311,7 @@
         }
     }
 
-    /// Each replica with its phase and the weights it serves or is to serve.
+    /// Each replica with its phase, and the weights that it serves or is ordered to serve.
     pub fn phases(&self) -> impl Iterator<Item = (&Service, Phase, Option<&Weights>)> {
         self.replicas.iter().flat_map(|(service, replica)| self.phases_of(service, replica))
     }
@@ -344,13 +348,13 @@
     }
 }
 
-/// With what an instance answers a service's requests.
+/// What an instance serves the requests of a service with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Serving {
-    /// It does not answer them.
+    /// Nothing: the instance does not serve them.
     Nothing,
-    /// With these weights.
+    /// The weights of this manifest.
     Weights(Digest),
-    /// It is a plain service.
+    /// No weights, since it is a plain service.
     Plain,
 }
--- a/crates/core/src/swarm.rs
+++ b/crates/core/src/swarm.rs
@@ -1,16 +1,17 @@
-//! Swarms: all replicas of the same weights, and who brings what from where.
+//! Swarms: the instances that need the same weights, and the role of each for each chunk.
 //!
-//! Everybody who knows a swarm's members computes the same roles, so no one
-//! has to hand chunks out. For each chunk the members are ranked by rendezvous
-//! hash. The first of all draws it from the origin. The first of each region
-//! brings it into the region, and the first of each availability zone into the
-//! zone, so that links between places carry it about once. Within a zone,
-//! members trade.
+//! Every instance that knows the members of a swarm computes the same roles, so
+//! that no coordinator needs to assign chunks. For each chunk, the members are
+//! ranked by rendezvous hash. The first of all members is assigned to fetch the
+//! chunk from the origin. The first member of each region imports it into the
+//! region, and the first of each availability zone into the zone, so that links
+//! between zones and regions carry it about once. Within a zone, members
+//! exchange chunks.
 //!
-//! When a chunk stays away, a reserve steps in: for each chunk, three zones
-//! may draw it from the origin too, one after the other. Which ones follows
-//! from the hash, so the origin gives at most four copies even when zones
-//! cannot talk to each other.
+//! If a chunk times out, fallbacks act: for each chunk, members of three zones
+//! may also fetch it from the origin, one after the other. The hash selects the
+//! zones, so that the origin sends at most four copies even if zones cannot
+//! reach each other.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -21,19 +22,19 @@
 
 use crate::rendezvous::{Key, weight};
 
-/// How many zones may draw a chunk besides the one that draws it first.
-const RESERVE: usize = 3;
+/// The number of zones that may fetch a chunk from the origin besides the assigned one.
+const FALLBACK_ZONES: usize = 3;
 
-/// How many members of a zone may bring a chunk in, one after the other.
-const IMPORTERS: u32 = 4;
+/// The number of members of a zone that may import a chunk, one after the other.
+const MAX_IMPORTERS: u32 = 4;
 
-/// With how many peers an instance trades in its own zone.
-const NEAR: usize = 6;
+/// The maximum number of neighbours in an instance's own zone.
+const ZONE_NEIGHBOURS: usize = 6;
 
-/// How many peers beyond its zone an instance falls back on.
-const FAR: usize = 4;
+/// The maximum number of neighbours in other zones, for chunks that have timed out.
+const OUTER_NEIGHBOURS: usize = 4;
 
-/// How near a peer is.
+/// The network distance of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// The same availability zone.
@@ -44,7 +45,7 @@
     Far,
 }
 
-/// A member with what ranking needs.
+/// A member with its hashed name and the numbers of its zone and region.
 #[derive(Debug, Clone)]
 struct Member {
     peer: Peer,
@@ -53,7 +54,7 @@
     region: usize,
 }
 
-/// A swarm as one of its members sees it.
+/// A swarm from the point of view of one member, this instance.
 #[derive(Debug, Clone)]
 pub struct Swarm {
     manifest: Key,
@@ -63,21 +64,23 @@
     zones: Vec<Key>,
 }
 
-/// What an instance does about one chunk.
+/// The role of an instance for one chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Role {
-    /// Whether it draws the chunk from the origin at once.
+    /// Whether the instance is assigned to fetch the chunk from the origin.
     pub fetches: bool,
-    /// After how many times the patience it draws the chunk as a reserve; `None` for never.
+    /// After how many fallback timeouts the instance fetches the chunk from the origin as a
+    /// fallback; `None` for never.
     pub fallback_after: Option<u32>,
-    /// After how many times the patience it brings the chunk in; `None` for never.
+    /// After how many fallback timeouts the instance imports the chunk into its zone; `None` for
+    /// never.
     pub import_after: Option<u32>,
-    /// From whom it brings the chunk in, in this order.
+    /// The members to import the chunk from, in this order, by their numbers in the swarm.
     pub sources: Vec<usize>,
 }
 
 impl Swarm {
-    /// The swarm of some weights; `own` joins it where the peers lack it.
+    /// Creates the swarm of some weights. `own` is added if `peers` lacks it.
     #[must_use]
     pub fn new(manifest: Digest, own: Peer, mut peers: Vec<Peer>) -> Self {
         peers.retain(|peer| peer.instance != own.instance);
@@ -112,13 +115,13 @@
         self.members.iter().map(|member| &member.peer)
     }
 
-    /// The member from which this one draws in a binary tree; `None` for the root.
+    /// The parent of this instance in a binary tree of the members; `None` for the root.
     #[must_use]
     pub fn parent(&self) -> Option<&Peer> {
         self.peer(self.own.checked_sub(1)? / 2)
     }
 
-    /// How near a peer is to this instance.
+    /// The distance from this instance to a peer.
     #[must_use]
     pub fn distance(&self, peer: &Peer) -> Distance {
         let own = self.own();
@@ -131,7 +134,7 @@
         }
     }
 
-    /// What this instance does about a chunk.
+    /// The role of this instance for a chunk.
     #[must_use]
     pub fn role(&self, chunk: usize) -> Role {
         let subject = self.manifest.with(Key::of_number(chunk as u64));
@@ -142,26 +145,27 @@
             let wanted = (0..self.members.len()).filter(|number| wanted(&self.members[*number]));
             wanted.max_by_key(|number| ranks[*number])
         };
-        let drawer = first(&|_| true).unwrap_or(self.own);
+        let assigned = first(&|_| true).unwrap_or(self.own);
         let in_region = first(&|member| member.region == own.region).unwrap_or(self.own);
         let zone_rank = self.zone_rank(&ranks);
-        // In the zone of the one that draws, the next member is the first to step in.
-        let behind = u32::from(self.members[drawer].zone == own.zone);
-        let step_in = zone_rank.saturating_sub(behind);
-        let reserves = self.reserve_zones(subject, self.members[drawer].zone);
-        let reserve = reserves.iter().position(|zone| *zone == own.zone);
-        let mut sources = vec![in_region, drawer];
-        sources.extend(reserves.iter().filter_map(|zone| first(&|member| member.zone == *zone)));
+        // In the zone of the assigned member, the next member is the first fallback.
+        let skipped = u32::from(self.members[assigned].zone == own.zone);
+        let fallback_rank = zone_rank.saturating_sub(skipped);
+        let fallbacks = self.fallback_zones(subject, self.members[assigned].zone);
+        let fallback = fallbacks.iter().position(|zone| *zone == own.zone);
+        let mut sources = vec![in_region, assigned];
+        sources.extend(fallbacks.iter().filter_map(|zone| first(&|member| member.zone == *zone)));
         Role {
-            fetches: drawer == self.own,
-            // The zones step in one after the other, then each zone's next member.
-            fallback_after: reserve.map(|turn| turn as u32 + 1 + step_in * RESERVE as u32),
-            import_after: (zone_rank < IMPORTERS).then_some(zone_rank),
+            fetches: assigned == self.own,
+            // The fallback zones act one after the other, then each zone's next member.
+            fallback_after: fallback
+                .map(|position| position as u32 + 1 + fallback_rank * FALLBACK_ZONES as u32),
+            import_after: (zone_rank < MAX_IMPORTERS).then_some(zone_rank),
             sources: self.distinct(sources),
         }
     }
 
-    /// How many members of this instance's zone rank before it.
+    /// The number of members of this instance's zone that rank before it.
     fn zone_rank(&self, ranks: &[u64]) -> u32 {
         let zone = self.members[self.own].zone;
         let before =
@@ -169,18 +173,18 @@
         u32::try_from((0..ranks.len()).filter(before).count()).unwrap_or(u32::MAX / 8)
     }
 
-    /// The zones that may draw a chunk too, in the order in which they step in.
-    fn reserve_zones(&self, subject: Key, drawing: usize) -> Vec<usize> {
+    /// The zones that may also fetch a chunk from the origin, in the order in which they act.
+    fn fallback_zones(&self, subject: Key, assigned: usize) -> Vec<usize> {
         let mut zones: Vec<_> = (0..self.zones.len()).collect();
         zones.sort_by_key(|zone| Reverse(weight(subject, self.zones[*zone])));
-        // Where there are few zones, the one that draws has to help itself too.
-        let keep_drawing = zones.len() <= RESERVE;
-        zones.retain(|zone| keep_drawing || *zone != drawing);
-        zones.truncate(RESERVE);
+        // With few zones, the assigned member's own zone is needed as a fallback too.
+        let keep_assigned = zones.len() <= FALLBACK_ZONES;
+        zones.retain(|zone| keep_assigned || *zone != assigned);
+        zones.truncate(FALLBACK_ZONES);
         zones
     }
 
-    /// Each number once, in the order given, without this instance.
+    /// Removes duplicates and this instance from the numbers, keeping their order.
     fn distinct(&self, numbers: Vec<usize>) -> Vec<usize> {
         let mut distinct = Vec::new();
         for number in numbers {
@@ -191,20 +195,21 @@
         distinct
     }
 
-    /// The peers with whose holdings this instance keeps in touch, nearest first.
+    /// The peers whose held chunks this instance follows, nearest first.
     #[must_use]
     pub fn neighbours(&self) -> Vec<&Peer> {
         let mut near = self.ranked(|distance| distance == Distance::Zone);
         let mut region = self.ranked(|distance| distance == Distance::Region);
         let mut far = self.ranked(|distance| distance == Distance::Far);
-        near.truncate(NEAR);
-        region.truncate(FAR / 2);
-        far.truncate(FAR - region.len());
+        near.truncate(ZONE_NEIGHBOURS);
+        region.truncate(OUTER_NEIGHBOURS / 2);
+        far.truncate(OUTER_NEIGHBOURS - region.len());
         near.extend(region);
         near.extend(far);
         near
     }
 
+    /// The peers at the wanted distances, ranked by rendezvous hash for this instance.
     fn ranked(&self, wanted: impl Fn(Distance) -> bool) -> Vec<&Peer> {
         let own = self.manifest.with(self.members[self.own].key);
         let others = self.members.iter().enumerate().filter(|(number, _)| *number != self.own);
@@ -216,7 +221,7 @@
     }
 }
 
-/// A member of a zone as a member of a swarm.
+/// Converts a member of a zone to a peer of a swarm.
 #[must_use]
 pub fn peer(member: &control::Member) -> Peer {
     Peer {
@@ -227,7 +232,7 @@
     }
 }
 
-/// Names in their order, with their numbers.
+/// Numbers the distinct names in their order.
 fn numbered<'a, T: Ord + Clone + 'a>(names: impl Iterator<Item = &'a T>) -> BTreeMap<T, usize> {
     let names: std::collections::BTreeSet<T> = names.cloned().collect();
     names.into_iter().zip(0..).collect()
