--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,7 +1,9 @@
-//! Admission: which requests an entry instance takes in.
+//! Admission control: which requests an entry instance accepts.
 //!
-//! A request that is refused here has not left the entry instance: it has not
-//! run. The caller learns at once when to come back.
+//! A [`Limiter`] applies the request rates of teams and services with token
+//! buckets, and the limit of concurrent requests per replica. A refused request
+//! has not left the entry instance and has therefore not run. The caller gets
+//! the delay after which to retry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,19 +12,19 @@
 
 use crate::configuration::Configuration;
 
-/// How long a caller stays away when all places are taken.
+/// The retry delay when a service has reached its limit of concurrent requests.
 pub const RETRY_WHEN_FULL: Duration = Duration::from_secs(1);
 
-/// What becomes of a request.
+/// Whether a request is admitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// It is taken in; [`Limiter::finish`] is due when it ends.
+    /// The request is admitted. The caller calls [`Limiter::finish`] when it ends.
     Admit,
-    /// It is refused and has not run.
+    /// The request is refused and has not run.
     Refuse {
-        /// Why.
+        /// The limit that was reached.
         reason: Reason,
-        /// When to come back.
+        /// The delay after which the caller may retry.
         retry_after: Duration,
     },
 }
@@ -38,8 +40,8 @@
     ServiceFull,
 }
 
-/// A bucket of tokens that fills up at a steady rate.
-// Invariant: holds at most one second's tokens.
+/// A token bucket, with the rate in tokens per second.
+// Invariant: holds at most the tokens of one second, or one token if the rate is lower.
 #[derive(Debug, Clone)]
 struct Bucket {
     rate: f64,
@@ -59,7 +61,7 @@
         self.filled = self.filled.max(now);
     }
 
-    /// How long until a token is there; `None` when one is.
+    /// The time until a token is available; `None` if one is available now.
     fn wait(&mut self, now: Duration) -> Option<Duration> {
         self.fill(now);
         let missing = 1.0 - self.tokens;
@@ -71,49 +73,50 @@
     }
 }
 
+/// The limits of a service, with its requests in progress.
 #[derive(Debug)]
-struct Lane {
+struct ServiceLimit {
     in_progress: usize,
     per_replica: usize,
     bucket: Option<Bucket>,
 }
 
-/// The limits of an entry instance, with what they count.
+/// The limits that an entry instance enforces, with their counters.
 #[derive(Debug, Default)]
 pub struct Limiter {
     teams: BTreeMap<Team, Bucket>,
-    services: BTreeMap<Service, Lane>,
+    services: BTreeMap<Service, ServiceLimit>,
 }
 
 impl Limiter {
-    /// Takes in a configuration's limits, keeping what is counted.
+    /// Applies the limits of a configuration, keeping the counters.
     pub fn configure(&mut self, configuration: &Configuration, now: Duration) {
         let limited = configuration.teams.values().filter_map(|team| {
             let rate = team.requests_per_second?.get();
             Some((team.name.clone(), self.keep_bucket(self.teams.get(&team.name), rate, now)))
         });
         let teams = limited.collect();
-        let lanes = configuration.services.values().map(|service| {
+        let service_limits = configuration.services.values().map(|service| {
             let limits = service.limits.clone().unwrap_or_default();
             let old = self.services.get(&service.name);
             let bucket = limits.requests_per_second.map(|rate| {
-                self.keep_bucket(old.and_then(|lane| lane.bucket.as_ref()), rate.get(), now)
+                self.keep_bucket(old.and_then(|limit| limit.bucket.as_ref()), rate.get(), now)
             });
-            let in_progress = old.map_or(0, |lane| lane.in_progress);
+            let in_progress = old.map_or(0, |limit| limit.in_progress);
             let per_replica = limits.concurrent.get() as usize;
-            (service.name.clone(), Lane { in_progress, per_replica, bucket })
+            (service.name.clone(), ServiceLimit { in_progress, per_replica, bucket })
         });
-        let services = lanes.collect();
+        let services = service_limits.collect();
         (self.teams, self.services) = (teams, services);
     }
 
-    /// The old bucket where the rate is the same, so that a new configuration refills nothing.
+    /// Keeps the old bucket if the rate is the same, so that a new configuration refills no tokens.
     fn keep_bucket(&self, old: Option<&Bucket>, rate: u32, now: Duration) -> Bucket {
         let same = |bucket: &&Bucket| bucket.rate.to_bits() == f64::from(rate).to_bits();
         old.filter(same).cloned().unwrap_or_else(|| Bucket::new(rate, now))
     }
 
-    /// Decides on a request of a team for a service with so many replicas.
+    /// Decides whether to admit a request of a team for a service with `replicas` replicas.
     pub fn admit(
         &mut self,
         team: &Team,
@@ -122,23 +125,23 @@
         now: Duration,
     ) -> Decision {
         let team_bucket = self.teams.get_mut(team);
-        let lane = self.services.get_mut(service);
-        let full = lane
+        let limit = self.services.get_mut(service);
+        let full = limit
             .as_ref()
-            .is_some_and(|lane| lane.in_progress >= lane.per_replica * replicas.max(1));
+            .is_some_and(|limit| limit.in_progress >= limit.per_replica * replicas.max(1));
         if full {
             return Decision::Refuse { reason: Reason::ServiceFull, retry_after: RETRY_WHEN_FULL };
         }
         let mut service_bucket = None;
-        if let Some(lane) = lane {
-            service_bucket = lane.bucket.as_mut();
-            lane.in_progress += 1;
+        if let Some(limit) = limit {
+            service_bucket = limit.bucket.as_mut();
+            limit.in_progress += 1;
         }
-        let refused = Self::take_both(team_bucket, service_bucket, now);
-        if refused != Decision::Admit {
+        let decision = Self::take_both(team_bucket, service_bucket, now);
+        if decision != Decision::Admit {
             self.finish(service);
         }
-        refused
+        decision
     }
 
     /// Takes a token from each bucket, or none from either.
@@ -157,10 +160,10 @@
         Decision::Admit
     }
 
-    /// Takes in that an admitted request has ended.
+    /// Records the end of an admitted request.
     pub fn finish(&mut self, service: &Service) {
-        if let Some(lane) = self.services.get_mut(service) {
-            lane.in_progress = lane.in_progress.saturating_sub(1);
+        if let Some(limit) = self.services.get_mut(service) {
+            limit.in_progress = limit.in_progress.saturating_sub(1);
         }
     }
 }
--- a/crates/core/src/coordinator/event.rs
+++ b/crates/core/src/coordinator/event.rs
@@ -1,4 +1,4 @@
-//! What a coordinator takes in, and what it has done in return.
+//! The events that a coordinator handles, and the actions that it returns.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 
 use crate::object::{Expect, Object};
 
-/// What happens to an entry instance's control state.
+/// An input to the control state of an entry instance.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// An agent reported.
+    /// An agent sent a heartbeat.
     Heartbeat(Heartbeat),
-    /// Objects were read or watched.
+    /// Objects were read, or a watch reported them.
     Objects(Vec<Object>),
     /// The files of a root were read.
     Parts(Root, Vec<Part>),
-    /// Another entry instance told what it knows.
+    /// Another entry instance sent its state.
     Relay(RelayState),
-    /// The platform's list names these instances as leaving.
+    /// The platform lists these instances as leaving.
     Leaving(Vec<Instance>),
-    /// A write took effect; `sent` is when it was sent.
+    /// A write took effect.
     Written {
         /// What was written.
         write: Write,
@@ -30,7 +30,7 @@
         /// When it was sent.
         sent: Duration,
     },
-    /// A write did not take effect, or that is not known.
+    /// A write did not take effect, or its outcome is unknown.
     NotWritten(Write),
     /// Time passed.
     Tick,
@@ -43,19 +43,19 @@
     pub key: String,
     /// Its new value.
     pub value: String,
-    /// What it must be.
+    /// The condition on the object for the write to take effect.
     pub expect: Expect,
 }
 
-/// What to do next.
+/// What the caller of a coordinator has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Read the files of a root.
     ReadParts(Root),
-    /// Read an object, since a write to it has failed.
+    /// Read an object again, since a write to it has failed.
     Read(String),
-    /// Write an object; the outcome is due as an event.
+    /// Write an object, and report the outcome as an event.
     Write(Write),
-    /// Show the traffic threads the state anew.
+    /// Publish the current state to the traffic threads.
     Publish,
 }
--- a/crates/core/src/coordinator/mod.rs
+++ b/crates/core/src/coordinator/mod.rs
@@ -1,10 +1,11 @@
 //! The control state of an entry instance.
 //!
-//! Events come in, actions go out. Whoever is behind pulls: generations and
-//! fences only grow here, whatever order things arrive in and whoever they
-//! come from. Two leases need one holder each: the availability zone's lease,
-//! whose holder sums up the zone's members, and the planner's lease, for which
-//! only holders of a zone's lease compete.
+//! A [`Coordinator`] handles each [`Event`] and returns [`Action`]s. Instances
+//! that are behind pull newer state from the platform and from other entry
+//! instances. Generations and fences only grow here, whatever the order and
+//! the sender of the updates. Two leases have one holder each: the lease of the
+//! availability zone, whose holder publishes the list of the zone's members,
+//! and the planner's lease, for which only holders of a zone's lease compete.
 
 mod event;
 
@@ -29,14 +30,14 @@
 
 pub use self::event::{Action, Event, Write};
 
-/// A configuration in force, with the files that it was read from.
+/// The active configuration, with the files that it was parsed from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Active {
     /// The root that was accepted.
     pub root: Root,
-    /// The files.
+    /// The configuration files.
     pub parts: Vec<Part>,
-    /// What they say.
+    /// The parsed and checked configuration.
     pub configuration: Configuration,
 }
 
@@ -47,9 +48,9 @@
     pub instance: Instance,
     /// Its availability zone.
     pub zone: Zone,
-    /// How often agents send a heartbeat.
+    /// The interval at which agents send heartbeats.
     pub heartbeat: Duration,
-    /// How long a lease stands unrenewed.
+    /// How long a lease stays valid without a renewal.
     pub lease: Duration,
 }
 
@@ -65,13 +66,14 @@
     members: BTreeMap<Zone, Versioned<Members>>,
     zone_lease: Candidate,
     planner: Candidate,
-    // The term under which the table was seeded from the former holder's sum.
+    // The term of the zone's lease in which the table was seeded from the previous holder's list
+    // of members.
     seeded: Option<Term>,
-    // Invariant: at most one write to a key is under way.
-    writing: BTreeSet<String>,
+    // The keys with a write in flight. Invariant: at most one write per key.
+    writes_in_flight: BTreeSet<String>,
 }
 
-/// An object's content with its revision; none when it came from a peer.
+/// The content of an object, with its revision; `None` if a peer sent the object.
 #[derive(Debug, Clone)]
 struct Versioned<T> {
     revision: Option<Revision>,
@@ -79,7 +81,7 @@
 }
 
 impl Coordinator {
-    /// The state of an entry instance that has just started.
+    /// Creates the state of an entry instance that has just started.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let candidate = || Candidate::new(settings.instance.clone(), settings.lease);
@@ -92,18 +94,18 @@
             zone_lease: candidate(),
             planner: candidate(),
             seeded: None,
-            writing: BTreeSet::new(),
+            writes_in_flight: BTreeSet::new(),
             settings,
         }
     }
 
-    /// The configuration in force; `None` before the first.
+    /// The active configuration; `None` before the first one is activated.
     #[must_use]
     pub fn active(&self) -> Option<&Arc<Active>> {
         self.active.as_ref()
     }
 
-    /// The generation in force; zero before the first.
+    /// The active generation; zero before the first one is activated.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.active.as_ref().map(|active| active.root.generation).unwrap_or_default()
@@ -114,18 +116,19 @@
         self.plans.values().map(|plan| &plan.value)
     }
 
-    /// The newest sum of each zone's members, as its lease's holder wrote it.
+    /// The newest list of each zone's members, as published by the holder of the zone's lease.
     pub fn members_by_zone(&self) -> impl Iterator<Item = &Members> {
         self.members.values().map(|members| &members.value)
     }
 
-    /// All members: those of this zone from their heartbeats, others as summed up.
+    /// All members: those of this zone from their heartbeats, those of other zones from the
+    /// published lists.
     #[must_use]
     pub fn members(&self, now: Duration) -> Vec<(Member, Health)> {
         let mut members: Vec<_> = self.table.members(now).collect();
         let others = self.members.iter().filter(|(zone, _)| **zone != self.settings.zone);
-        for (_, sum) in others {
-            members.extend(sum.value.members.iter().map(|member| (member.clone(), Health::Alive)));
+        for (_, list) in others {
+            members.extend(list.value.members.iter().map(|member| (member.clone(), Health::Alive)));
         }
         members
     }
@@ -136,7 +139,8 @@
         self.planner.term(now).is_some()
     }
 
-    /// What this instance can tell another one.
+    /// The state that this instance sends to another one in reply to a query. The configuration is
+    /// included only if it is newer than the query's.
     #[must_use]
     pub fn relay(&self, query: &RelayQuery) -> RelayState {
         let newer = self.active.as_ref().filter(|active| active.root.generation > query.generation);
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Takes in an event and says what to do next.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: Event, now: Duration) -> Vec<Action> {
         match event {
             Event::Heartbeat(heartbeat) => self.on_heartbeat(heartbeat, now),
@@ -164,7 +168,7 @@
             }
             Event::Written { write, revision, sent } => self.on_written(write, revision, sent, now),
             Event::NotWritten(write) => {
-                self.writing.remove(&write.key);
+                self.writes_in_flight.remove(&write.key);
                 vec![Action::Read(write.key)]
             }
             Event::Tick => self.on_tick(now),
@@ -182,24 +186,24 @@
         let Object { key, revision, value } = object;
         let Some(value) = value else { return Vec::new() };
         if key == object::ROOT {
-            return read::<Root>(&value).map(|root| self.on_root(root)).unwrap_or_default();
+            return parse::<Root>(&value).map(|root| self.on_root(root)).unwrap_or_default();
         }
         if key == object::PLANNER {
-            return read(&value)
-                .map(|lease| self.on_lease(Which::Planner, revision, lease, now))
+            return parse(&value)
+                .map(|lease| self.on_lease(LeaseKind::Planner, revision, lease, now))
                 .unwrap_or_default();
         }
         if key == object::zone_lease(&self.settings.zone) {
-            return read(&value)
-                .map(|lease| self.on_lease(Which::Zone, revision, lease, now))
+            return parse(&value)
+                .map(|lease| self.on_lease(LeaseKind::Zone, revision, lease, now))
                 .unwrap_or_default();
         }
-        if let Some(plan) = read::<Plan>(&value)
+        if let Some(plan) = parse::<Plan>(&value)
             && key == object::plan(&plan.zone)
         {
             return self.on_plan(Some(revision), plan);
         }
-        if let Some(members) = read::<Members>(&value)
+        if let Some(members) = parse::<Members>(&value)
             && key == object::members(&members.zone)
         {
             return self.on_members(Some(revision), members);
@@ -207,7 +211,7 @@
         Vec::new()
     }
 
-    /// Reads the files of a root that is newer than all known.
+    /// Requests the files of a root if it is newer than the active and the pending one.
     fn on_root(&mut self, root: Root) -> Vec<Action> {
         let known = self.pending.as_ref().map(|root| root.generation).unwrap_or_default();
         if root.generation <= known.max(self.generation()) {
@@ -217,18 +221,18 @@
         vec![Action::ReadParts(root)]
     }
 
-    /// Puts a configuration in force, and plans at once where that is this instance's part.
+    /// Activates a configuration, and writes new plans at once if this instance is the planner.
     fn on_parts(&mut self, root: Root, parts: Vec<Part>, now: Duration) -> Vec<Action> {
-        let mut actions = self.adopt(root, parts);
+        let mut actions = self.activate(root, parts);
         if let Some(term) = self.planner.term(now).filter(|_| !actions.is_empty()) {
             actions.extend(self.plan(term));
         }
         actions
     }
 
-    /// Puts a configuration in force, if it is newer and whole.
-    fn adopt(&mut self, root: Root, parts: Vec<Part>) -> Vec<Action> {
-        if root.generation <= self.generation() || !is_whole(&root, &parts) {
+    /// Activates a configuration if it is newer, complete and valid.
+    fn activate(&mut self, root: Root, parts: Vec<Part>) -> Vec<Action> {
+        if root.generation <= self.generation() || !is_complete(&root, &parts) {
             return Vec::new();
         }
         let Ok(configuration) = Configuration::check(&parts) else { return Vec::new() };
@@ -241,7 +245,7 @@
 
     fn on_relay(&mut self, state: RelayState) -> Vec<Action> {
         let RelayState { root, parts, plans, members, .. } = state;
-        let mut actions = root.map(|root| self.adopt(root, parts)).unwrap_or_default();
+        let mut actions = root.map(|root| self.activate(root, parts)).unwrap_or_default();
         actions.extend(plans.into_iter().flat_map(|plan| self.on_plan(None, plan)));
         actions.extend(members.into_iter().flat_map(|members| self.on_members(None, members)));
         actions
@@ -279,19 +283,19 @@
 
     fn on_lease(
         &mut self,
-        which: Which,
+        kind: LeaseKind,
         revision: Revision,
         lease: Lease,
         now: Duration,
     ) -> Vec<Action> {
-        self.lease(which).observe(revision, lease, now);
+        self.lease(kind).observe(revision, lease, now);
         Vec::new()
     }
 
-    fn lease(&mut self, which: Which) -> &mut Candidate {
-        match which {
-            Which::Planner => &mut self.planner,
-            Which::Zone => &mut self.zone_lease,
+    fn lease(&mut self, kind: LeaseKind) -> &mut Candidate {
+        match kind {
+            LeaseKind::Planner => &mut self.planner,
+            LeaseKind::Zone => &mut self.zone_lease,
         }
     }
 
@@ -302,15 +306,15 @@
         sent: Duration,
         now: Duration,
     ) -> Vec<Action> {
-        self.writing.remove(&write.key);
-        for (which, key) in [
-            (Which::Planner, object::PLANNER.to_owned()),
-            (Which::Zone, object::zone_lease(&self.settings.zone)),
+        self.writes_in_flight.remove(&write.key);
+        for (kind, key) in [
+            (LeaseKind::Planner, object::PLANNER.to_owned()),
+            (LeaseKind::Zone, object::zone_lease(&self.settings.zone)),
         ] {
             if write.key == key
-                && let Some(lease) = read::<Lease>(&write.value)
+                && let Some(lease) = parse::<Lease>(&write.value)
             {
-                self.lease(which).record_write(revision, lease, sent);
+                self.lease(kind).record_write(revision, lease, sent);
                 return Vec::new();
             }
         }
@@ -324,11 +328,11 @@
             actions.push(Action::ReadParts(root.clone()));
         }
         let zone_step = self.zone_lease.step(now);
-        actions.extend(self.keep_lease(object::zone_lease(&self.settings.zone), zone_step));
+        actions.extend(self.write_lease(object::zone_lease(&self.settings.zone), zone_step));
         if let Some(term) = self.zone_lease.term(now) {
-            actions.extend(self.sum_up(term, now));
+            actions.extend(self.publish_members(term, now));
             let planner_step = self.planner.step(now);
-            actions.extend(self.keep_lease(object::PLANNER.into(), planner_step));
+            actions.extend(self.write_lease(object::PLANNER.into(), planner_step));
         }
         if let Some(term) = self.planner.term(now) {
             actions.extend(self.plan(term));
@@ -336,14 +340,14 @@
         actions
     }
 
-    fn keep_lease(&mut self, key: String, step: lease::Step) -> Option<Action> {
+    fn write_lease(&mut self, key: String, step: lease::Step) -> Option<Action> {
         let lease::Step::Write { lease, expect } = step else { return None };
         self.write(key, &lease, expect)
     }
 
-    /// Sums up the zone's members, where they differ from the last sum.
-    fn sum_up(&mut self, term: Term, now: Duration) -> Option<Action> {
-        self.seed(term, now);
+    /// Publishes the list of the zone's members if it differs from the last one.
+    fn publish_members(&mut self, term: Term, now: Duration) -> Option<Action> {
+        self.seed_table(term, now);
         let current: Vec<Member> = self.table.members(now).map(|(member, _)| member).collect();
         let known = self.members.get(&self.settings.zone);
         let same = known.is_some_and(|known| {
@@ -356,13 +360,14 @@
         let expect = known.and_then(|known| known.revision);
         let zone = self.settings.zone.clone();
         let key = object::members(&zone);
-        let sum = Members { zone, term, revision, generation: self.generation(), members: current };
-        self.write(key, &sum, expect)
+        let list =
+            Members { zone, term, revision, generation: self.generation(), members: current };
+        self.write(key, &list, expect)
     }
 
-    /// Takes over the former holder's sum, so that members who have not yet
-    /// reported here are not taken for dead.
-    fn seed(&mut self, term: Term, now: Duration) {
+    /// Seeds the table from the list of the previous lease holder, so that members that have not
+    /// yet sent a heartbeat to this instance do not count as dead.
+    fn seed_table(&mut self, term: Term, now: Duration) {
         if self.seeded == Some(term) {
             return;
         }
@@ -372,11 +377,11 @@
         }
     }
 
-    /// Plans every zone anew, and writes the plans that change.
+    /// Computes the plan of every zone, and writes the plans that have changed.
     fn plan(&mut self, term: Term) -> Vec<Action> {
         let Some(active) = self.active.clone() else { return Vec::new() };
         let members: Vec<Member> =
-            self.members.values().flat_map(|sum| sum.value.members.iter().cloned()).collect();
+            self.members.values().flat_map(|list| list.value.members.iter().cloned()).collect();
         let previous = self.placements();
         let mut placements = place(&active.configuration, &members, &previous);
         drain::grant(&active.configuration, &members, &previous, &mut placements);
@@ -396,7 +401,7 @@
         self.plans.iter().map(placements).collect()
     }
 
-    /// The next plan of a zone, if it differs from the newest one.
+    /// The next plan of a zone with the revision to expect; `None` if nothing has changed.
     fn next_plan(
         &self,
         term: Term,
@@ -416,14 +421,14 @@
         Some((Plan { zone, fence, term, generation, placements }, expect))
     }
 
-    /// A write, unless one to the same key is under way.
+    /// Returns a write, unless one to the same key is in flight.
     fn write<T: Serialize>(
         &mut self,
         key: String,
         value: &T,
         expect: Option<Revision>,
     ) -> Option<Action> {
-        if !self.writing.insert(key.clone()) {
+        if !self.writes_in_flight.insert(key.clone()) {
             return None;
         }
         let value = serde_json::to_string(value).unwrap_or_default();
@@ -432,15 +437,15 @@
     }
 }
 
-/// One of the two leases.
+/// The two leases that a coordinator competes for.
 #[derive(Debug, Clone, Copy)]
-enum Which {
+enum LeaseKind {
     Planner,
     Zone,
 }
 
-/// Whether the files are those that a root names.
-fn is_whole(root: &Root, parts: &[Part]) -> bool {
+/// Whether the files match the names and digests in a root.
+fn is_complete(root: &Root, parts: &[Part]) -> bool {
     let matches = |(reference, part): (&cinderspoke_schema::control::PartReference, &Part)| {
         reference.name == part.name
             && reference.digest == crate::configuration::part_digest(&part.text)
@@ -448,6 +453,6 @@
     root.parts.len() == parts.len() && root.parts.iter().zip(parts).all(matches)
 }
 
-fn read<T: DeserializeOwned>(value: &str) -> Option<T> {
+fn parse<T: DeserializeOwned>(value: &str) -> Option<T> {
     serde_json::from_str(value).ok()
 }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,10 +1,11 @@
-//! Leases: who may do what only one may do.
+//! Leases, which elect one holder for a task.
 //!
-//! A lease is an object that its holder keeps rewriting. Nobody compares wall
-//! clocks: an observer takes a lease over once it has seen it unchanged for
-//! the lease's length on its own clock. Each change of hands grows the term,
-//! and what the holder writes carries the term, so that a holder that was
-//! paused and acts late is told apart from its successor.
+//! A lease is an object that its holder rewrites periodically. No wall clocks
+//! are compared: a [`Candidate`] takes over a lease once it has seen the object
+//! unchanged for the lease's length on its own clock. Each new holder increments
+//! the term, and what a holder writes carries the term, so that the writes of a
+//! holder that was paused and resumes late are distinguished from those of its
+//! successor.
 
 use std::time::Duration;
 
@@ -12,30 +13,30 @@
 use cinderspoke_types::counter::{Revision, Term};
 use cinderspoke_types::id::Instance;
 
-/// A holder renews after this part of the lease's length.
+/// A holder renews the lease after its length divided by this.
 const RENEWALS_PER_LEASE: u32 = 3;
 
 /// What a candidate does next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Nothing; look again later.
+    /// Nothing; call again later.
     Wait,
     /// Write the lease, if the object is still at the expected revision.
     Write {
-        /// What to write.
+        /// The content to write.
         lease: Lease,
-        /// The revision to expect; `None` when there must be no object.
+        /// The revision to expect; `None` if the object must not exist.
         expect: Option<Revision>,
     },
 }
 
-/// One instance's view of a lease.
+/// An instance that competes for a lease, with its view of it.
 #[derive(Debug)]
 pub struct Candidate {
     instance: Instance,
     length: Duration,
     seen: Option<Seen>,
-    // Invariant: set only while the newest write that this instance knows of is its own.
+    // Invariant: set only while the newest write known to this instance is its own.
     held: Option<Held>,
 }
 
@@ -54,13 +55,13 @@
 }
 
 impl Candidate {
-    /// A candidate that has seen nothing yet.
+    /// Creates a candidate that has not observed the lease yet.
     #[must_use]
     pub fn new(instance: Instance, length: Duration) -> Self {
         Self { instance, length, seen: None, held: None }
     }
 
-    /// Takes in the object as it was read.
+    /// Observes the object as it was read, unless a newer revision is known.
     pub fn observe(&mut self, revision: Revision, lease: Lease, now: Duration) {
         if self.seen.as_ref().is_some_and(|seen| seen.revision >= revision) {
             return;
@@ -72,9 +73,9 @@
         self.seen = Some(Seen { revision, lease, at: now });
     }
 
-    /// Takes in a write of this instance's own that took effect.
+    /// Records a write of this instance that took effect.
     ///
-    /// `sent` is when the write was sent: the lease counts from then.
+    /// `sent` is when the write was sent; the lease is valid from then.
     pub fn record_write(&mut self, revision: Revision, lease: Lease, sent: Duration) {
         let term = lease.term;
         self.observe(revision, lease, sent);
@@ -83,14 +84,14 @@
         }
     }
 
-    /// The term under which this instance holds the lease; `None` when it does not.
+    /// The term in which this instance holds the lease; `None` if it does not hold it.
     #[must_use]
     pub fn term(&self, now: Duration) -> Option<Term> {
         let held = self.held.as_ref()?;
         (now < held.renewed + self.length).then_some(held.term)
     }
 
-    /// What to do next.
+    /// Whether to write the lease now, to acquire or renew it.
     #[must_use]
     pub fn step(&self, now: Duration) -> Step {
         let Some(seen) = &self.seen else {
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,8 +1,8 @@
-//! Membership: which instances of an availability zone are there.
+//! Membership: the instances of an availability zone and their health.
 //!
-//! An agent's own heartbeat counts first. The platform's list of live and
-//! leaving instances lags, so it can only make an instance leave, never bring
-//! one back.
+//! Heartbeats from the agents are authoritative. The platform's list of live
+//! and leaving instances lags, so that it can only mark an instance as leaving,
+//! never add one again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,29 +11,30 @@
 use cinderspoke_types::counter::Incarnation;
 use cinderspoke_types::id::Instance;
 
-/// After how many missed heartbeats an instance gets no new work.
+/// The number of missed heartbeats after which an instance gets no new work.
 pub const SUSPECT_AFTER: u32 = 3;
 
-/// After how many missed heartbeats an instance is taken for dead.
+/// The number of missed heartbeats after which an instance counts as dead.
 pub const DEAD_AFTER: u32 = 10;
 
-/// How fresh an instance's heartbeats are.
+/// The health of an instance, by the age of its last heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// Its heartbeats come.
+    /// Heartbeats arrive in time.
     Alive,
-    /// Some are missing: it gets no new work while others can do it.
+    /// At least [`SUSPECT_AFTER`] heartbeats are missing. The instance gets no new work while
+    /// others can do it.
     Suspect,
-    /// So many are missing that its replicas are to be replaced.
+    /// At least [`DEAD_AFTER`] heartbeats are missing. The replicas of the instance are replaced.
     Dead,
 }
 
-/// What became of a heartbeat.
+/// Whether a heartbeat was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the newest one of its instance.
+    /// It is the newest one from its instance.
     Accepted,
-    /// It is older than what is known: late, repeated, or of a former process.
+    /// It is not newer than the known one: late, repeated, or from a previous process.
     Stale,
 }
 
@@ -41,7 +42,7 @@
 struct Record {
     member: Member,
     sequence: u64,
-    heard: Duration,
+    last_heartbeat: Duration,
 }
 
 /// The instances of an availability zone.
@@ -53,13 +54,13 @@
 }
 
 impl Table {
-    /// An empty table for agents that send a heartbeat each `interval`.
+    /// Creates an empty table for agents that send a heartbeat every `interval`.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Self { interval, records: BTreeMap::new(), leaving: BTreeSet::new() }
     }
 
-    /// Takes in a heartbeat.
+    /// Applies a heartbeat, unless a newer one from the same instance is known.
     pub fn apply_heartbeat(&mut self, heartbeat: Heartbeat, now: Duration) -> Verdict {
         let Heartbeat { member, sequence, .. } = heartbeat;
         let order = |record: &Record| (record.member.incarnation, record.sequence);
@@ -68,22 +69,24 @@
             return Verdict::Stale;
         }
         if known.is_some_and(|(incarnation, _)| incarnation != member.incarnation) {
-            // A new process on the instance: the list spoke of the former one.
+            // The platform's list referred to the previous process on the instance.
             self.leaving.remove(&member.instance);
         }
-        self.records.insert(member.instance.clone(), Record { member, sequence, heard: now });
+        self.records
+            .insert(member.instance.clone(), Record { member, sequence, last_heartbeat: now });
         Verdict::Accepted
     }
 
-    /// Takes over members that another instance knew and this one has not heard.
+    /// Adds members that another instance knew and that have sent no heartbeat to this one, as if
+    /// their heartbeats had just arrived.
     pub fn seed(&mut self, members: &[Member], now: Duration) {
         for member in members {
-            let record = || Record { member: member.clone(), sequence: 0, heard: now };
+            let record = || Record { member: member.clone(), sequence: 0, last_heartbeat: now };
             self.records.entry(member.instance.clone()).or_insert_with(record);
         }
     }
 
-    /// Takes in the platform's list of leaving instances.
+    /// Replaces the platform's list of leaving instances.
     pub fn set_leaving(&mut self, instances: impl IntoIterator<Item = Instance>) {
         self.leaving = instances.into_iter().collect();
     }
@@ -94,26 +97,27 @@
         self.records.get(instance).map(|record| record.member.incarnation)
     }
 
-    /// Forgets instances that are dead, unless so many fell silent at once
-    /// that this process itself is more likely cut off.
+    /// Removes dead instances, unless so many stopped sending at once that this process itself is
+    /// more likely isolated.
     pub fn remove_dead(&mut self, now: Duration) {
         if self.is_isolated(now) {
             return;
         }
         let deadline = self.interval * DEAD_AFTER;
-        self.records.retain(|_, record| now < record.heard + deadline);
+        self.records.retain(|_, record| now < record.last_heartbeat + deadline);
     }
 
-    /// Whether more than half of the instances are silent: then nobody is
-    /// taken for dead on this process's word alone.
+    /// Whether more than half of the instances have stopped sending heartbeats. This process is
+    /// then likely isolated, and must not declare instances dead on its own observations alone.
     #[must_use]
     pub fn is_isolated(&self, now: Duration) -> bool {
-        let silent = |record: &&Record| self.health(record, now) != Health::Alive;
-        let silent = self.records.values().filter(silent).count();
-        self.records.len() > 2 && 2 * silent > self.records.len()
+        let is_overdue = |record: &&Record| self.health(record, now) != Health::Alive;
+        let overdue = self.records.values().filter(is_overdue).count();
+        self.records.len() > 2 && 2 * overdue > self.records.len()
     }
 
-    /// The members with their health, ordered by instance; leaving ones are marked.
+    /// The members with their health, ordered by instance, with leaving ones in the state
+    /// [`State::Leaving`]. While this process is isolated, all of them count as alive.
     pub fn members(&self, now: Duration) -> impl Iterator<Item = (Member, Health)> {
         let isolated = self.is_isolated(now);
         self.records.values().map(move |record| {
@@ -127,10 +131,10 @@
     }
 
     fn health(&self, record: &Record, now: Duration) -> Health {
-        let silence = now.saturating_sub(record.heard);
-        if silence >= self.interval * DEAD_AFTER {
+        let age = now.saturating_sub(record.last_heartbeat);
+        if age >= self.interval * DEAD_AFTER {
             Health::Dead
-        } else if silence >= self.interval * SUSPECT_AFTER {
+        } else if age >= self.interval * SUSPECT_AFTER {
             Health::Suspect
         } else {
             Health::Alive
