--- a/crates/core/src/bitmap.rs
+++ b/crates/core/src/bitmap.rs
@@ -1,4 +1,4 @@
-//! A set of chunks, one bit each.
+//! A set of chunk numbers, stored as one bit per chunk.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,7 +9,7 @@
 
 /// A set of chunk numbers below a fixed length.
 ///
-/// Its text has two hexadecimal digits for each eight chunks, lowest first.
+/// Its text form has two hexadecimal digits for every eight chunks, lowest chunks first.
 // Invariant: bits at and above `length` are zero.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Bitmap {
@@ -17,7 +17,7 @@
     length: usize,
 }
 
-/// Why a text is no bitmap.
+/// Why a text cannot be parsed as a bitmap.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
 pub enum Error {
     /// the digits are not pairs of hexadecimal digits
@@ -27,13 +27,13 @@
 impl std::error::Error for Error {}
 
 impl Bitmap {
-    /// An empty set for chunks below `length`.
+    /// Creates an empty set of chunks below `length`.
     #[must_use]
     pub fn new(length: usize) -> Self {
         Self { bytes: vec![0; length.div_ceil(BITS)], length }
     }
 
-    /// How many chunk numbers there are, in the set or not.
+    /// The number of chunks that the set can hold, not of those in it.
     #[must_use]
     pub fn len(&self) -> usize {
         self.length
@@ -51,7 +51,7 @@
         self.count() == self.length
     }
 
-    /// How many chunks are in the set.
+    /// The number of chunks in the set.
     #[must_use]
     pub fn count(&self) -> usize {
         self.bytes.iter().map(|byte| byte.count_ones() as usize).sum()
@@ -63,14 +63,14 @@
         self.bytes.get(chunk / BITS).is_some_and(|byte| byte >> (chunk % BITS) & 1 == 1)
     }
 
-    /// Adds a chunk; numbers beyond the length are left out.
+    /// Adds a chunk; numbers beyond the length are ignored.
     pub fn insert(&mut self, chunk: usize) {
         if chunk < self.length {
             self.bytes[chunk / BITS] |= 1 << (chunk % BITS);
         }
     }
 
-    /// The same set, cut or filled up to another length.
+    /// The same set with another length; chunks beyond the length are dropped.
     #[must_use]
     pub fn resized(&self, length: usize) -> Self {
         let mut resized = Self::new(length);
@@ -94,7 +94,7 @@
 impl FromStr for Bitmap {
     type Err = Error;
 
-    /// Reads a set whose length is the next multiple of eight.
+    /// Parses a set. Its length is the number of digits times four, a multiple of eight.
     fn from_str(text: &str) -> Result<Self, Error> {
         if !text.is_ascii() || !text.len().is_multiple_of(2) {
             return Err(Error::Digits);
--- a/crates/core/src/change.rs
+++ b/crates/core/src/change.rs
@@ -1,29 +1,30 @@
-//! Changing the configuration: one root, swapped as a whole.
+//! Changes of the configuration, by an atomic swap of one root object.
 //!
-//! A change is accepted at the moment when the root is swapped by a
-//! conditional write. When the answer to that write is lost, the root itself
-//! tells what became of it, since it names the operation that wrote it.
+//! A change is accepted when a conditional write swaps the root. If the response
+//! to that write is lost, reading the root shows whether it took effect, since
+//! the root names the operation that wrote it.
 
 use cinderspoke_schema::control::{ApplyRequest, Part, PartReference, Root};
 use cinderspoke_types::counter::Generation;
 
 use crate::configuration::part_digest;
 
-/// What becomes of a change, as far as the root tells.
+/// The decision on a change, based on the current root.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// It is accepted already: the root names this operation.
+    /// The change is already accepted: the root names this operation.
     Accepted(Generation),
-    /// It can be tried: write this root.
+    /// The change can be attempted by writing this root.
     Swap(Root),
-    /// The root is no longer the one on which the change is based.
+    /// The change is based on another generation than the current one.
     Conflict {
-        /// The generation in force.
+        /// The current generation.
         current: Generation,
     },
 }
 
-/// Decides what to do about a change, given the root as it was read.
+/// Decides on a change, given the root as it was read and the time in milliseconds since the Unix
+/// epoch.
 #[must_use]
 pub fn decide(request: &ApplyRequest, root: Option<&Root>, at_ms: u64) -> Verdict {
     let current = root.map(|root| root.generation).unwrap_or_default();
@@ -45,7 +46,7 @@
     }
 }
 
-/// The files by their digests, ordered by name.
+/// References to the files by their digests, ordered by name.
 #[must_use]
 pub fn references(files: &[Part]) -> Vec<PartReference> {
     let reference =
--- a/crates/core/src/configuration/check.rs
+++ b/crates/core/src/configuration/check.rs
@@ -1,4 +1,4 @@
-//! Checks a set of files: each against the schema, then all against each other.
+//! Checks a set of files: each against the schema, then references and names across files.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use super::{Configuration, DEFAULT_ORIGIN_WEIGHT, MAX_FILE_BYTES};
 use crate::document::Document;
 
-/// A file that fits its schema, with the places of its values.
+/// A file that matches the schema, with the positions of its values.
 struct Source {
     document: Document,
     file: File,
@@ -26,7 +26,7 @@
             Err(found) => findings.extend(found),
         }
     }
-    // References into a file that could not be read would all look broken.
+    // References into a file that could not be parsed would all be reported as broken.
     if findings.is_empty() {
         let mut checker = Checker::new(&sources);
         checker.check();
@@ -40,7 +40,7 @@
     (&finding.file, finding.line, finding.column)
 }
 
-/// Checks the files' names and sizes, before any is read.
+/// Checks the names and sizes of the files before any is parsed.
 fn check_names(files: &[Part]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut seen = BTreeSet::new();
@@ -86,7 +86,8 @@
     configuration
 }
 
-/// Checks what no single file's schema can: names across files, and sums.
+/// Checks what the schema of a single file cannot: names and references across files, and limits
+/// that depend on several keys.
 struct Checker<'a> {
     sources: &'a [Source],
     zones: BTreeSet<&'a str>,
@@ -138,7 +139,7 @@
         self.findings.push(source.document.finding_at(pointer, what, expected));
     }
 
-    /// Finds names that are declared twice, in one file or in two.
+    /// Reports names that are declared more than once, in one file or in several.
     fn check_unique(&mut self, kind: &str, names: impl Fn(&'a File) -> Vec<&'a str>) {
         let mut seen = BTreeSet::new();
         for source in self.sources {
@@ -197,9 +198,8 @@
         }
         for (index, call) in service.not_repeatable.iter().enumerate() {
             if !is_call_path(&call.path) {
-                let what = format!("{:?} is no path of calls", call.path);
-                let expected =
-                    "a path from its first '/', where only the last character may be '*'";
+                let what = format!("{:?} is not a valid path pattern", call.path);
+                let expected = "a path that starts with '/', with '*' only as its last character";
                 self.add(source, &format!("{at}/not_repeatable/{index}/path"), &what, expected);
             }
         }
--- a/crates/core/src/configuration/diff.rs
+++ b/crates/core/src/configuration/diff.rs
@@ -1,4 +1,4 @@
-//! What changes from one configuration to another.
+//! The differences between two configurations.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -1,4 +1,7 @@
-//! The configuration: what operators declare, checked as a whole.
+//! The configuration that operators declare in files, checked as a whole.
+//!
+//! [`Configuration::check`] parses and checks a set of files; [`changes`] lists the differences
+//! between two configurations.
 
 mod check;
 mod diff;
@@ -12,10 +15,10 @@
 
 pub use diff::{Change, changes};
 
-/// The largest file that fits into one object of the platform, in bytes.
+/// The size limit of a file, in bytes, so that it fits into one object of the platform.
 pub const MAX_FILE_BYTES: usize = 1_000_000;
 
-/// What counts when no file says how to weigh time against origin bytes.
+/// The [`Configuration::origin_weight`] if no file declares one.
 pub const DEFAULT_ORIGIN_WEIGHT: f64 = 0.5;
 
 /// A checked configuration.
@@ -31,7 +34,7 @@
     pub models: BTreeMap<id::Model, operator::Model>,
     /// The services.
     pub services: BTreeMap<id::Service, operator::Service>,
-    /// What bytes from the origin count against time, from 0 to 1.
+    /// The cost of bytes from the origin relative to time, from 0 to 1.
     pub origin_weight: f64,
 }
 
@@ -40,12 +43,12 @@
     ///
     /// # Errors
     ///
-    /// All findings, ordered by file and place.
+    /// All findings, ordered by file and position.
     pub fn check(files: &[Part]) -> Result<Self, Vec<Finding>> {
         check::check(files)
     }
 
-    /// The weights that a service's replicas carry; `None` for a plain service.
+    /// The weights that a service's replicas load; `None` for a plain service.
     #[must_use]
     pub fn weights(&self, service: &operator::Service) -> Option<Weights> {
         let model = self.models.get(service.model.as_ref()?)?;
@@ -59,7 +62,7 @@
         })
     }
 
-    /// The availability zones in which a service's replicas may stand.
+    /// The availability zones in which a service's replicas may be placed.
     #[must_use]
     pub fn zones_of(&self, service: &operator::Service) -> Vec<id::Zone> {
         match &service.placement {
@@ -69,13 +72,14 @@
     }
 }
 
-/// How many replicas keep answering during a planned change of a service.
+/// The minimum number of replicas that stay live during a planned change of a service. By default
+/// all replicas but one, and at least one.
 #[must_use]
 pub fn min_live_replicas(service: &operator::Service) -> u32 {
     service.minimum.unwrap_or_else(|| service.replicas.get().saturating_sub(1).max(1))
 }
 
-/// The digest under which a file is kept.
+/// The digest under which a file is stored.
 #[must_use]
 pub fn part_digest(text: &str) -> Digest {
     Digest::of(text.as_bytes())
--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -1,4 +1,4 @@
-//! Reading a TOML file against a schema, with the place of every finding.
+//! Parses a TOML file and checks it against a JSON schema, with the position of each finding.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -11,19 +11,19 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A file that has been read, with the place of each of its values.
+/// A parsed file, with the position of each of its values.
 #[derive(Debug)]
 pub struct Document {
     file: String,
     text: String,
     value: Value,
-    // Invariant: holds the place of every value in `value`, by JSON pointer.
-    places: BTreeMap<String, Range<usize>>,
+    // Byte ranges by JSON pointer. Invariant: has an entry for every value in `value`.
+    ranges: BTreeMap<String, Range<usize>>,
     findings: Vec<Finding>,
 }
 
 impl Document {
-    /// Reads a file as far as its syntax allows.
+    /// Parses a file as far as its syntax allows; syntax errors become findings.
     #[must_use]
     pub fn read(file: &str, text: &str) -> Self {
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -31,7 +31,7 @@
             file: file.into(),
             text: text.into(),
             value: Value::Null,
-            places: BTreeMap::new(),
+            ranges: BTreeMap::new(),
             findings: Vec::new(),
         };
         for error in errors {
@@ -43,17 +43,17 @@
         document
     }
 
-    /// Checks the file against a schema and gives it its type.
+    /// Checks the file against a schema and deserializes it.
     ///
     /// # Errors
     ///
-    /// All findings in the file, those of its syntax among them.
+    /// All findings in the file, including those from parsing.
     pub fn check<T: DeserializeOwned>(&mut self, schema: &Value) -> Result<T, Vec<Finding>> {
-        // Where the syntax is broken, what the schema misses may just be unreadable.
+        // After a syntax error, a key that the schema requires may only be unparsed.
         if self.findings.is_empty() {
             self.check_schema(schema);
         }
-        self.findings.sort_by_key(place_of);
+        self.findings.sort_by_key(position);
         if !self.findings.is_empty() {
             return Err(self.findings.clone());
         }
@@ -62,18 +62,18 @@
         })
     }
 
-    /// A finding at a value, named by its JSON pointer, or at its nearest parent.
+    /// Creates a finding at the value of a JSON pointer, or at its nearest parent that exists.
     #[must_use]
     pub fn finding_at(&self, pointer: &str, what: &str, expected: &str) -> Finding {
-        self.finding(self.place(pointer), what, expected)
+        self.finding(self.range(pointer), what, expected)
     }
 
-    fn place(&self, pointer: &str) -> Range<usize> {
-        if let Some(range) = self.places.get(pointer) {
+    fn range(&self, pointer: &str) -> Range<usize> {
+        if let Some(range) = self.ranges.get(pointer) {
             return range.clone();
         }
         match pointer.rsplit_once('/') {
-            Some((parent, _)) => self.place(parent),
+            Some((parent, _)) => self.range(parent),
             None => 0..0,
         }
     }
@@ -94,10 +94,10 @@
         for (key, value) in table {
             let name = key.get_ref();
             let child = format!("{at}/{}", escape(name));
-            self.places.insert(key_pointer(&child), key.span());
+            self.ranges.insert(key_pointer(&child), key.span());
             object.insert(name.to_string(), self.convert(child, value));
         }
-        self.places.insert(at, span);
+        self.ranges.insert(at, span);
         Value::Object(object)
     }
 
@@ -119,7 +119,7 @@
             DeValue::Float(float) => float.as_str().parse::<f64>().map_or(Value::Null, Value::from),
             DeValue::Datetime(datetime) => Value::String(datetime.to_string()),
         };
-        self.places.insert(at, span);
+        self.ranges.insert(at, span);
         converted
     }
 
@@ -138,7 +138,7 @@
         errors.flat_map(|error| self.describe(&error, schema)).collect()
     }
 
-    /// The findings of one violation: one for each unknown key, else one.
+    /// Converts a violation to findings: one for each unknown key, otherwise one.
     fn describe(&self, error: &ValidationError<'_>, schema: &Value) -> Vec<Finding> {
         let at = error.instance_path().as_str();
         let parent = parent_schema(schema, error.evaluation_path().as_str());
@@ -146,8 +146,8 @@
             ValidationErrorKind::AdditionalProperties { unexpected } => {
                 let expected = format!("one of {}", known_keys(parent));
                 let unknown = |key: &String| {
-                    let place = self.place(&key_pointer(&format!("{at}/{}", escape(key))));
-                    self.finding(place, &format!("unknown key `{key}`"), &expected)
+                    let range = self.range(&key_pointer(&format!("{at}/{}", escape(key))));
+                    self.finding(range, &format!("unknown key `{key}`"), &expected)
                 };
                 unexpected.iter().map(unknown).collect()
             }
@@ -166,17 +166,17 @@
     }
 }
 
-/// What the reader of TOML found, apart from what it expected.
+/// Splits the message of the TOML parser into what it found and what it expected.
 fn split_expected(message: &str) -> (&str, &str) {
     message.trim().split_once(", expected ").unwrap_or((message.trim(), "a TOML document"))
 }
 
-/// Where a finding stands, for ordering.
-fn place_of(finding: &Finding) -> (u32, u32) {
+/// The line and column of a finding, for ordering.
+fn position(finding: &Finding) -> (u32, u32) {
     (finding.line, finding.column)
 }
 
-/// The pointer under which the place of a key, not of its value, is kept.
+/// The entry in `ranges` for the range of a key itself, rather than of its value.
 fn key_pointer(pointer: &str) -> String {
     format!("key:{pointer}")
 }
@@ -217,7 +217,7 @@
     names.collect::<Vec<_>>().join(", ")
 }
 
-/// What a value should be, in words, from its schema.
+/// Describes the expected value in words, from its schema.
 fn describe_schema(schema: &Value, node: &Value) -> String {
     let node = resolve(schema, node).unwrap_or(node);
     if let Some(options) = node.get("enum") {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,21 +1,24 @@
-//! The decisions of the system: pure state machines and functions.
+//! The decision logic of Cinderspoke: pure state machines and functions.
 //!
-//! Nothing here reads a clock, opens a socket or draws a random number. Time
-//! comes in as a [`std::time::Duration`] since the process started; what to do
-//! next goes out as an enum. The programs, the tests and the experiments all
-//! run this same code.
+//! Nothing here reads a clock, opens a socket or generates a random number. Time
+//! is passed in as a [`std::time::Duration`] since the process started, and the
+//! next action is returned as an enum. The programs, the tests and the benchmarks
+//! run the same code.
 //!
-//! - What is to run: [`document`] and [`configuration`] turn operators' files
-//!   into a checked [`configuration::Configuration`] or a list of findings.
-//! - Where it runs: [`member`] keeps who is there, [`placement`] lays replicas
-//!   on instances, [`drain`] says which of them may drain, [`lease`] who may
-//!   write the plan.
-//! - Who keeps it: [`coordinator`] is the control state of an entry instance,
-//!   [`change`] decides what becomes of an operator's change.
-//! - How weights get there: [`manifest`], [`swarm`] and [`transfer`] decide
-//!   which chunk is drawn from whom; [`replica`] turns orders into steps.
-//! - How requests are answered: [`admission`], [`route`] and [`outcome`]; on a
-//!   platform that keeps configuration and versions, by a [`gateway`].
+//! - Configuration: [`document`] and [`configuration`] parse and check operators'
+//!   files; [`change`] decides whether an operator's change is accepted.
+//! - Control plane: [`coordinator`] is the control state of an entry instance. It
+//!   uses [`member`] for the health of instances, [`placement`] to assign replicas
+//!   to instances, [`drain`] to grant which replicas may drain, and [`lease`] to
+//!   elect the instance that writes the plan. [`object`] has the keys in the
+//!   platform's store.
+//! - Distribution of weights: [`manifest`] lists chunks, and [`swarm`] and
+//!   [`transfer`] decide which chunk is fetched from where; [`replica`] turns
+//!   orders into steps for an agent.
+//! - Requests at an entry instance: [`admission`], [`route`] and [`outcome`].
+//! - Requests at a gateway, on a platform that stores the configuration and the
+//!   versions itself: [`gateway`].
+//! - Building blocks: [`bitmap`] and [`rendezvous`].
 
 pub mod admission;
 pub mod bitmap;
--- a/crates/core/src/manifest.rs
+++ b/crates/core/src/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifests: which chunks make up a version's weights.
+//! Manifests, which list the chunks of a version's weights by their digests.
 
 use std::ops::Range;
 
@@ -8,9 +8,9 @@
 use displaydoc::Display;
 use sha2::{Digest as _, Sha256};
 
-/// A manifest whose digest and layout have been checked.
-// Invariants: `digest` is the digest of `raw`, and `raw` lists exactly the
-// chunks that its sizes ask for.
+/// A manifest whose digest and number of chunks have been verified.
+// Invariants: `digest` is the digest of `raw`, and the number of chunks in `raw`
+// matches its sizes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Manifest {
     digest: Digest,
@@ -18,12 +18,14 @@
     algorithm: Algorithm,
 }
 
-/// How chunks are hashed.
+/// The hash of chunks and of the complete weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Algorithm {
-    /// As in our own manifests; the whole is hashed in one piece.
+    /// BLAKE3 of each chunk, and of the complete weights in one piece. Used by Cinderspoke's own
+    /// manifests.
     Blake3,
-    /// As origins list chunks; the whole is the list of its chunks' hashes.
+    /// SHA-256 of each chunk, as origins list chunks. The digest of the complete weights is the
+    /// BLAKE3 hash of the list of chunk hashes.
     Sha256,
 }
 
@@ -38,21 +40,21 @@
     }
 }
 
-/// Why a manifest is refused.
+/// Why a manifest is rejected.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
 pub enum Error {
     /// the manifest's digest is {found}, not {wanted}
     Digest {
-        /// The digest that was asked for.
+        /// The digest requested.
         wanted: Digest,
-        /// The digest of what came.
+        /// The digest of the manifest received.
         found: Digest,
     },
-    /// the manifest lists {listed} chunks where its sizes ask for {wanted}
+    /// the manifest lists {listed} chunks, but its sizes imply {wanted}
     Layout {
-        /// Chunks in the list.
+        /// The number of chunks in the list.
         listed: usize,
-        /// Chunks that the sizes ask for.
+        /// The number of chunks that the sizes imply.
         wanted: u64,
     },
 }
@@ -60,7 +62,7 @@
 impl std::error::Error for Error {}
 
 impl Manifest {
-    /// Makes the manifest of some weights.
+    /// Builds the manifest of some weights.
     ///
     /// # Panics
     ///
@@ -76,11 +78,11 @@
         Self { digest: digest(&raw), raw, algorithm: Algorithm::Blake3 }
     }
 
-    /// Checks a manifest that came from elsewhere against the digest that names it.
+    /// Verifies a received manifest against the digest that identifies it.
     ///
     /// # Errors
     ///
-    /// When it is another manifest, or one that contradicts itself.
+    /// When the digest differs, or the number of chunks does not match the sizes.
     pub fn verify(raw: control::Manifest, wanted: Digest) -> Result<Self, Error> {
         let found = digest(&raw);
         if found != wanted {
@@ -96,7 +98,8 @@
         Ok(Self { digest: found, raw, algorithm: Algorithm::Blake3 })
     }
 
-    /// The manifest of weights whose chunks are listed by their SHA-256.
+    /// Builds the manifest of weights from the SHA-256 digests of their chunks, all of them
+    /// `chunk_size` long.
     #[must_use]
     pub fn from_chunk_digests(chunk_size: Bytes, chunks: Vec<Digest>) -> Self {
         let size = Bytes::new(chunk_size.as_u64().saturating_mul(chunks.len() as u64));
@@ -106,31 +109,31 @@
         Self { digest: digest(&raw), raw, algorithm: Algorithm::Sha256 }
     }
 
-    /// How chunks are hashed.
+    /// The algorithm that hashes the chunks.
     #[must_use]
     pub fn algorithm(&self) -> Algorithm {
         self.algorithm
     }
 
-    /// The digest that names the version.
+    /// The digest of the manifest, which identifies the version.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The message form.
+    /// The manifest as it is sent in messages.
     #[must_use]
     pub fn as_raw(&self) -> &control::Manifest {
         &self.raw
     }
 
-    /// The size of the whole weights.
+    /// The size of the complete weights.
     #[must_use]
     pub fn size(&self) -> Bytes {
         self.raw.size
     }
 
-    /// How many chunks there are.
+    /// The number of chunks.
     #[must_use]
     pub fn chunks(&self) -> usize {
         self.raw.chunks.len()
@@ -142,13 +145,13 @@
         self.raw.chunks.get(chunk).copied()
     }
 
-    /// The digest of the whole weights.
+    /// The digest of the complete weights.
     #[must_use]
     pub fn whole(&self) -> Digest {
         self.raw.whole
     }
 
-    /// The bytes of the whole weights that a chunk covers.
+    /// The byte range of a chunk in the complete weights.
     #[must_use]
     pub fn range(&self, chunk: usize) -> Range<u64> {
         let size = self.raw.chunk_size.as_u64();
@@ -167,7 +170,7 @@
     Digest::of(&bytes)
 }
 
-/// Hashes weights chunk by chunk.
+/// Computes the digest of complete weights, chunk by chunk.
 #[derive(Debug)]
 pub struct Hasher {
     algorithm: Algorithm,
@@ -175,13 +178,13 @@
 }
 
 impl Hasher {
-    /// Hashes as a manifest's whole is hashed.
+    /// Creates a hasher for weights whose manifest uses `algorithm`.
     #[must_use]
     pub fn new(algorithm: Algorithm) -> Self {
         Self { algorithm, state: blake3::Hasher::new() }
     }
 
-    /// Takes in the next chunk.
+    /// Adds the next chunk.
     pub fn add(&mut self, chunk: &[u8]) {
         match self.algorithm {
             Algorithm::Blake3 => {
@@ -195,7 +198,7 @@
         self.state.update(chunk.as_bytes());
     }
 
-    /// The digest of all chunks together.
+    /// The digest of all chunks added so far.
     #[must_use]
     pub fn finish(&self) -> Digest {
         Digest::new(*self.state.finalize().as_bytes())
--- a/crates/core/src/object.rs
+++ b/crates/core/src/object.rs
@@ -1,97 +1,97 @@
-//! Objects of the platform's object API, and the keys of our own.
+//! Objects of the platform's object API, and the keys that Cinderspoke uses.
 
 use cinderspoke_types::counter::{Generation, Revision};
 use cinderspoke_types::digest::Digest;
 use cinderspoke_types::id::{Operation, Zone};
 use serde::{Deserialize, Serialize};
 
-/// An object as it was read.
+/// An object as read from the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
     /// Its key.
     pub key: String,
-    /// Its version; grows over all objects.
+    /// Its revision, which increases across all objects.
     pub revision: Revision,
-    /// Its value; `None` when the object was removed.
+    /// Its value; `None` if the object was deleted.
     pub value: Option<String>,
 }
 
-/// What a write asks the object to be before it takes effect.
+/// The condition on an object for a write to take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
-    /// Anything.
+    /// No condition.
     Any,
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
-    /// It is still at this revision.
+    /// The object is still at this revision.
     Revision(Revision),
 }
 
-/// Objects, and the revision up to which they are complete.
+/// A list of objects, with the revision up to which it is complete.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Every change up to this revision is contained.
+    /// The list includes every change up to this revision.
     pub revision: Revision,
     /// The objects, ordered by revision.
     pub objects: Vec<Object>,
 }
 
-/// Below this prefix stands what every entry instance watches.
+/// The prefix of the objects that every entry instance watches.
 pub const WATCHED: &str = "live/";
 
-/// The root of the accepted configuration.
+/// The key of the root of the accepted configuration.
 pub const ROOT: &str = "live/root";
 
-/// Below this prefix stand former roots.
+/// The prefix of previous roots.
 pub const HISTORY: &str = "history/";
 
-/// Below this prefix stand records of changes that were refused.
+/// The prefix of the records of refused changes.
 pub const REFUSED: &str = "refused/";
 
-/// Below this prefix stand claims on callers' keys.
+/// The prefix of the claims on callers' idempotency keys.
 pub const ONCE: &str = "once/";
 
-/// The lease of whoever writes the plans.
+/// The key of the lease whose holder writes the plans.
 pub const PLANNER: &str = "lease/planner";
 
-/// The plan of an availability zone.
+/// The key of the plan of an availability zone.
 #[must_use]
 pub fn plan(zone: &Zone) -> String {
     format!("live/plan/{zone}")
 }
 
-/// The members of an availability zone.
+/// The key of the members of an availability zone.
 #[must_use]
 pub fn members(zone: &Zone) -> String {
     format!("live/members/{zone}")
 }
 
-/// The lease of whoever sums up the members of an availability zone.
+/// The key of the lease whose holder publishes the members of an availability zone.
 #[must_use]
 pub fn zone_lease(zone: &Zone) -> String {
     format!("lease/zone/{zone}")
 }
 
-/// A file of a configuration.
+/// The key of a configuration file, by its digest.
 #[must_use]
 pub fn part(digest: Digest) -> String {
     format!("part/{digest}")
 }
 
-/// The claim on a caller's key, by its digest.
+/// The key of the claim on a caller's idempotency key, by the digest of the latter.
 #[must_use]
 pub fn once(key: Digest) -> String {
     format!("{ONCE}{key}")
 }
 
-/// A former root; keys sort by generation.
+/// The key of a previous root; keys sort by generation.
 #[must_use]
 pub fn history(generation: Generation) -> String {
     format!("{HISTORY}{generation:020}")
 }
 
-/// A refused change; keys sort by time.
+/// The key of a refused change; keys sort by time, in milliseconds.
 #[must_use]
 pub fn refused(at_ms: u64, operation: &Operation) -> String {
     format!("{REFUSED}{at_ms:020}-{operation}")
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,27 +1,27 @@
-//! What a caller is told of its request, and what follows a failed attempt.
+//! The outcome of a request as reported to the caller, and the decision after a failed attempt.
 
 use std::fmt;
 
 use cinderspoke_schema::operator::{Call, Service};
 
-/// The most attempts at one request, the first among them.
+/// The maximum number of attempts at one request, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The whole answer follows, or the stream ends with an error.
+    /// The complete answer follows, or the stream ends with an error.
     Answered,
-    /// It did not run, and will not.
+    /// The request did not run and will not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It cannot be understood, and did not run.
+    /// The request is invalid and did not run.
     Bad,
 }
 
 impl Outcome {
-    /// The outcome's name, as callers read it.
+    /// The name of the outcome, as sent to callers.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -39,38 +39,39 @@
     }
 }
 
-/// How far an attempt had come when it failed.
+/// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte of it had left this process.
+    /// No byte of the request was sent.
     NotSent,
-    /// The agent answered that it has not passed it on and will not.
+    /// The agent answered that it has not forwarded the request and will not.
     Refused,
-    /// It was sent, and what became of it is not known.
+    /// The request was sent, and its outcome is unknown.
     Lost,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may run more than once, and so may be retried after it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may.
+    /// The request may run again.
     Allowed,
-    /// It may not.
+    /// The request must not run again.
     Forbidden,
 }
 
-/// What follows a failed attempt.
+/// The next action after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Try another replica.
+    /// Retry on another replica.
     Retry,
-    /// Tell the caller this.
+    /// Report this outcome to the caller.
     Respond(Outcome),
 }
 
-/// Decides what follows a failed attempt.
+/// Decides what to do after a failed attempt.
 ///
-/// `lost` tells whether any earlier attempt, or this one, may have run.
+/// `lost` is whether an earlier attempt, or this one, may have run. `attempts` is the number of
+/// attempts made so far.
 #[must_use]
 pub fn after_failure(failure: Failure, lost: bool, attempts: u32, repeat: Repeat) -> Next {
     let may_have_run = lost || failure == Failure::Lost;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,9 +1,10 @@
-//! Placement: which instance carries which replica.
+//! Placement: assigns the replicas of services to instances.
 //!
-//! What stands stays: a replica moves only when its instance is gone or
-//! leaving, when its service no longer wants it, or when its zone is no longer
-//! allowed. Missing replicas go to the zone with the fewest, then to the
-//! instance with the fewest services, then by rendezvous hash.
+//! Existing replicas stay: a replica moves only when its instance is gone or
+//! leaving, when its service no longer needs it, or when its zone is no longer
+//! allowed. Missing replicas go to the zone with the fewest replicas of the
+//! service, then to the instance with the fewest services, then by rendezvous
+//! hash.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,23 +20,23 @@
 /// The replicas of each availability zone, ordered by instance and service.
 pub type Placements = BTreeMap<id::Zone, Vec<Placement>>;
 
-/// Lays every service's replicas on the members, moving as little as possible.
+/// Places the replicas of every service on the members, moving as few as possible.
 ///
-/// Where members are too few, what does not fit is left out.
+/// If there are too few members, the replicas that do not fit are not placed.
 #[must_use]
 pub fn place(
     configuration: &Configuration,
     members: &[Member],
     previous: &Placements,
 ) -> Placements {
-    let mut board = Board::new(configuration, members);
+    let mut planner = Planner::new(configuration, members);
     for service in configuration.services.values() {
-        board.keep(service, previous);
+        planner.keep(service, previous);
     }
     for service in configuration.services.values() {
-        board.fill(service);
+        planner.fill(service);
     }
-    board.into_placements()
+    planner.into_placements()
 }
 
 fn priority(priority: operator::Priority) -> Priority {
@@ -46,7 +47,7 @@
     }
 }
 
-/// An instance while replicas are laid on it.
+/// An instance during placement, with its free memory and the replicas placed on it so far.
 struct Slot<'a> {
     member: &'a Member,
     free: Bytes,
@@ -54,12 +55,13 @@
     weights: BTreeSet<cinderspoke_types::digest::Digest>,
 }
 
-struct Board<'a> {
+/// The state of one placement.
+struct Planner<'a> {
     configuration: &'a Configuration,
     slots: BTreeMap<&'a id::Instance, Slot<'a>>,
 }
 
-impl<'a> Board<'a> {
+impl<'a> Planner<'a> {
     fn new(configuration: &'a Configuration, members: &'a [Member]) -> Self {
         let ready = members.iter().filter(|member| member.state == State::Ready);
         let slot = |member: &'a Member| Slot {
@@ -72,11 +74,11 @@
         Self { configuration, slots }
     }
 
-    /// Keeps what stands, as far as it is still wanted.
+    /// Keeps the existing replicas of a service that are still needed and fit.
     fn keep(&mut self, service: &'a Service, previous: &Placements) {
-        let standing = previous.values().flatten().filter(|placed| placed.service == service.name);
+        let existing = previous.values().flatten().filter(|placed| placed.service == service.name);
         let mut by_zone: BTreeMap<&id::Zone, Vec<&id::Instance>> = BTreeMap::new();
-        for placed in standing {
+        for placed in existing {
             if let Some(slot) = self.slots.get(&placed.instance)
                 && self.fits(service, slot)
             {
@@ -86,7 +88,7 @@
         let mut surplus = by_zone.values().map(Vec::len).sum::<usize>();
         surplus = surplus.saturating_sub(service.replicas.get() as usize);
         while surplus > 0 {
-            // The fullest zone gives first, so that the spread stays even.
+            // The zone with the most replicas loses one first, so that the spread stays even.
             let fullest = by_zone.values_mut().max_by_key(|instances| instances.len());
             fullest.and_then(Vec::pop);
             surplus -= 1;
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Adds what is missing.
+    /// Places the missing replicas of a service, as far as instances fit.
     fn fill(&mut self, service: &'a Service) {
         let key = Key::of(service.name.as_str());
         let mut missing = service.replicas.get() as usize - self.count(service);
@@ -104,7 +106,11 @@
             let fitting = self.slots.values().filter(|slot| self.fits(service, slot));
             let best = fitting.min_by_key(|slot| {
                 let name = Key::of(slot.member.instance.as_str());
-                (self.crowd(service, slot), slot.services.len(), Reverse(weight(key, name)))
+                (
+                    self.replicas_in_zone(service, slot),
+                    slot.services.len(),
+                    Reverse(weight(key, name)),
+                )
             });
             let Some(instance) = best.map(|slot| &slot.member.instance) else { return };
             self.put(service, instance);
@@ -112,8 +118,9 @@
         }
     }
 
-    /// How many replicas of a service stand in a slot's zone already, where that counts.
-    fn crowd(&self, service: &Service, slot: &Slot<'_>) -> usize {
+    /// The number of a service's replicas already in a slot's zone; zero if the service does not ask
+    /// for an even spread.
+    fn replicas_in_zone(&self, service: &Service, slot: &Slot<'_>) -> usize {
         let spread = service.placement.as_ref().map_or(Spread::Even, |placement| placement.spread);
         match spread {
             Spread::Any => 0,
@@ -141,11 +148,12 @@
         allowed
             && right_kind
             && !slot.services.contains(&service.name)
-            && self.needed(service, slot) <= slot.free
+            && self.memory_needed(service, slot) <= slot.free
     }
 
-    /// The memory that a service's weights would take on an instance.
-    fn needed(&self, service: &Service, slot: &Slot<'_>) -> Bytes {
+    /// The additional memory that a service's weights need on an instance; none if the instance
+    /// already has the same weights.
+    fn memory_needed(&self, service: &Service, slot: &Slot<'_>) -> Bytes {
         match self.configuration.weights(service) {
             Some(weights) if !slot.weights.contains(&weights.manifest) => weights.size,
             _ => Bytes::ZERO,
@@ -154,7 +162,7 @@
 
     fn put(&mut self, service: &'a Service, instance: &id::Instance) {
         let Some(slot) = self.slots.get(instance) else { return };
-        let needed = self.needed(service, slot);
+        let needed = self.memory_needed(service, slot);
         let weights = self.configuration.weights(service);
         if let Some(slot) = self.slots.get_mut(instance) {
             slot.free = slot.free.saturating_sub(needed);
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -1,10 +1,13 @@
-//! Rendezvous hashing: everyone who knows the same names ranks them alike.
+//! Rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998).
+//!
+//! All processes that know the same names rank them in the same order, without
+//! coordination.
 
 use std::net::SocketAddr;
 
 use cinderspoke_types::digest::Digest;
 
-/// A name, hashed once so that ranking it costs little.
+/// The hash of a name, computed once so that ranking is cheap.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(u64);
 
@@ -40,20 +43,20 @@
         self.0
     }
 
-    /// The key of two keys together.
+    /// Combines two keys into one.
     #[must_use]
     pub fn with(self, other: Self) -> Self {
         Self(weight(self, other))
     }
 }
 
-/// The rank value of a candidate for a subject: the highest wins.
+/// The weight of a candidate for a subject. The candidate with the highest weight ranks first.
 #[must_use]
 pub fn weight(subject: Key, candidate: Key) -> u64 {
     mix(subject.0 ^ mix(candidate.0))
 }
 
-/// The finaliser of the SplitMix64 generator: every bit depends on every other.
+/// The finalizer of the SplitMix64 generator: every output bit depends on every input bit.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,9 +1,10 @@
-//! Routing: which replica answers a request.
+//! Routing: selects the replica that serves a request.
 //!
-//! Requests with the same prefix go to the same replica as long as it is not
-//! clearly busier than the rest, since its prefix cache makes it faster. What
-//! this instance has sent and not yet seen answered counts along with the
-//! endpoints' own reports, which lag.
+//! Requests with the same prefix go to the same replica, whose prefix cache
+//! makes it faster, unless its load is clearly above the mean (rendezvous
+//! hashing with bounded loads). The load of a replica is the larger of the
+//! outstanding requests of this instance and the endpoint's own report, which
+//! lags.
 
 use std::net::SocketAddr;
 
@@ -11,52 +12,52 @@
 
 use crate::rendezvous::{Key, weight};
 
-/// By how much a replica may be busier than the mean and still keep its prefixes.
-const BOUND: f64 = 1.25;
+/// The load, relative to the mean, up to which a replica is selected for its prefixes.
+const LOAD_FACTOR: f64 = 1.25;
 
-/// How many requests a replica may have, however few the others have.
-const SLACK: u32 = 2;
+/// The requests that a replica may have beyond the bound, so that low loads do not count as busy.
+const LOAD_SLACK: u32 = 2;
 
-/// How near a replica is to the entry instance.
+/// The distance from the entry instance to a replica.
 pub use crate::swarm::Distance;
 
-/// A replica that can answer.
+/// A replica that can serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its instance.
+    /// The replica's instance.
     pub instance: Instance,
     /// The instance's name, hashed.
     pub key: Key,
-    /// Where its agent listens.
+    /// The address of the instance's agent.
     pub address: SocketAddr,
-    /// How near it is.
+    /// The distance from the entry instance.
     pub distance: Distance,
-    /// Requests of this entry instance in progress there.
+    /// Outstanding requests of this entry instance to the replica.
     pub in_flight: u32,
-    /// Requests in progress or waiting there, as last reported.
+    /// Requests running or queued at the replica, as last reported.
     pub reported: u32,
 }
 
 impl Candidate {
-    /// How busy the replica is taken to be.
+    /// The estimated number of requests at the replica.
     fn load(&self) -> u32 {
         self.in_flight.max(self.reported)
     }
 }
 
-/// What is known of a request when it is routed.
+/// The properties of a request that routing uses.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Request {
-    /// The hash of the prefix that it shares with others, if it has one.
+    /// The hash of the prefix that the request shares with others, if it has one.
     pub prefix: Option<Key>,
     /// A number that differs from request to request.
     pub salt: u64,
 }
 
-/// The replica that is to answer; `None` when there is none.
+/// Picks the replica to serve a request; `None` only if there are no candidates.
 ///
-/// Candidates nearer than the rest go first unless all of them are at their
-/// bound; `None` is returned only for no candidates at all.
+/// The nearest candidates come first, unless all of them are above the load
+/// bound. If all candidates are, the least loaded one is picked.
 #[must_use]
 pub fn pick<'a>(request: &Request, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
     let bound = bound(candidates);
@@ -71,12 +72,12 @@
     candidates.iter().min_by_key(|candidate| candidate.load())
 }
 
-/// The load above which a replica gets no requests for the sake of their prefix or nearness.
+/// The load above which a replica is not selected for its prefix or distance.
 fn bound(candidates: &[Candidate]) -> u32 {
     let total: u32 = candidates.iter().map(Candidate::load).sum();
     let mean = f64::from(total) / candidates.len().max(1) as f64;
-    // Loads are small whole numbers, far within both types.
-    (mean * BOUND).ceil() as u32 + SLACK
+    // Loads are small integers that both types represent exactly.
+    (mean * LOAD_FACTOR).ceil() as u32 + LOAD_SLACK
 }
 
 fn choose<'a>(request: &Request, near: &[&'a Candidate]) -> Option<&'a Candidate> {
@@ -86,7 +87,7 @@
     }
 }
 
-/// The less busy of two replicas picked by the salt.
+/// The less loaded of two replicas that the salt selects (power of two choices).
 fn two_choices<'a>(salt: u64, near: &[&'a Candidate]) -> Option<&'a Candidate> {
     let pick = |number: u64| -> Option<&'a Candidate> {
         let hashed = weight(Key::of_number(salt), Key::of_number(number));
--- a/crates/core/src/transfer/mod.rs
+++ b/crates/core/src/transfer/mod.rs
@@ -88,7 +88,7 @@
 
 /// The complete weights do not match their manifest.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
-#[displaydoc("the whole of {manifest} has the digest {found}")]
+#[displaydoc("the complete weights of manifest {manifest} have the digest {found}")]
 pub struct Mismatch {
     manifest: Digest,
     found: Digest,
