--- a/tests/testsuite/late.rs
+++ b/tests/testsuite/late.rs
@@ -159,7 +159,7 @@
 
 /// Returns the longest time until a change is known and the calls to the store per second, if
 /// each answer is delayed by `delay`.
-async fn slow(delay: Duration, others: u16) -> (Duration, f64) {
+async fn measure(delay: Duration, others: u16) -> (Duration, f64) {
     let (mut longest, mut calls) = (Duration::ZERO, 0.0);
     for trial in 0..TRIALS {
         let store = Late::new(delay, Duration::from_millis(20_000 + 370 * trial), &[]);
@@ -176,7 +176,7 @@
 async fn changes_in_a_slow_store_are_known_in_time() {
     for (others, delay) in [(0, 300), (0, 1500), (0, 2500), (5, 300), (5, 1500), (5, 2500)] {
         let delay = Duration::from_millis(delay);
-        let (longest, calls) = slow(delay, others).await;
+        let (longest, calls) = measure(delay, others).await;
         println!(
             "{others} others, {delay:?} late: known after {longest:?}, {calls:.2} calls per second"
         );
--- a/tests/testsuite/reload.rs
+++ b/tests/testsuite/reload.rs
@@ -381,7 +381,7 @@
     let file: File<Node> = File::open(path.clone()).unwrap();
     let filter = log::open(&file.settings().log).unwrap();
     let mut in_force = file.spawn(Signals::open().unwrap().reload, filter);
-    // Half of "500.0".
+    // The first part of "500.0".
     std::fs::write(&path, text("50")).unwrap();
     let own = std::process::id().to_string();
     assert!(Command::new("kill").args(["-HUP", &own]).status().unwrap().success());
--- a/tests/testsuite/requests.rs
+++ b/tests/testsuite/requests.rs
@@ -1,4 +1,4 @@
-//! Answers that callers receive: errors, refusals and broken streams; and their cancellation.
+//! What callers receive for invalid, refused and interrupted requests, and how they cancel one.
 
 use cinderspoke_test_support::caller::{Answer, Caller};
 use cinderspoke_test_support::fleet::{Fleet, Options};
--- a/tests/testsuite/silence.rs
+++ b/tests/testsuite/silence.rs
@@ -2,8 +2,8 @@
 //!
 //! Guards against taking a dead connection for a platform without changes: a watch waited for
 //! 20 s and had 5 s more to answer, so that every entry instance received a configuration after
-//! up to 25 s, where at most 16 s are allowed. This holds for the instance that wrote the
-//! configuration too, since it also applies what its own watch returns.
+//! up to 25 s, where at most 16 s are allowed. The instance that wrote the configuration was
+//! affected too, since it applies what its own watch returns.
 
 use std::time::Duration;
 
