--- a/src/cinderspoke/entry/admin.rs
+++ b/src/cinderspoke/entry/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API, with metrics and health beside it.
+//! The administration API for operators, with the endpoints for metrics and health checks.
 //!
 //! | call | answer |
 //! |---|---|
@@ -30,23 +30,23 @@
 use super::status;
 use crate::ports::ObjectStore;
 
-/// The largest set of files, in bytes.
-const MAX_FILES: usize = 64 << 20;
+/// Limit on the size of a request body, which holds a set of files, in bytes.
+const MAX_BODY: usize = 64 << 20;
 
-/// What answering operators needs.
+/// The shared state of the request handlers.
 #[derive(Clone)]
 pub struct Context {
-    /// The running control task.
+    /// Handle of the control task.
     pub control: Handle,
     /// The platform's object API.
     pub store: Arc<dyn ObjectStore>,
-    /// Cancelled once the process is to stop.
+    /// Cancelled when the process begins to shut down; `/readyz` then fails.
     pub draining: CancellationToken,
-    /// Where metrics are collected, if they are.
+    /// The metrics recorder; `None` if metrics are not collected.
     pub metrics: Option<PrometheusHandle>,
 }
 
-/// The routes for operators.
+/// Builds the router of the administration API.
 pub fn app(context: Context) -> Router {
     Router::new()
         .route("/v1/check", post(check))
@@ -57,7 +57,7 @@
         .route("/metrics", get(scrape))
         .route("/healthz", get(|| async { "ok" }))
         .route("/readyz", get(ready))
-        .layer(DefaultBodyLimit::max(MAX_FILES))
+        .layer(DefaultBodyLimit::max(MAX_BODY))
         .with_state(context)
 }
 
--- a/src/cinderspoke/entry/apply.rs
+++ b/src/cinderspoke/entry/apply.rs
@@ -1,4 +1,7 @@
-//! Carrying out an operator's change.
+//! Applies an operator's change to the configuration and records it in the audit trail.
+//!
+//! A change writes its files under their digests, saves the current root in the history, and then
+//! replaces the root with a conditional write. The conditional write is what puts it in force.
 
 use std::time::Duration;
 
@@ -13,16 +16,17 @@
 use crate::ports::{Error, ObjectStore};
 use crate::util::clock::unix_ms;
 
-/// How often a write whose answer was lost is looked into.
-const ATTEMPTS: u32 = 5;
+/// Number of attempts after which a read or write that fails is not retried. A write whose reply
+/// was lost is checked by the next attempt.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// How long to wait before looking again.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How many former roots, and how many refused changes, are kept.
-const KEPT: u64 = 1000;
+/// Number of former roots kept in the history.
+const MAX_HISTORY: u64 = 1000;
 
-/// Why a change was not accepted, or is not known to be.
+/// Why a change was not accepted, or why its outcome is unknown.
 #[derive(Debug, Display)]
 pub enum Refusal {
     /// the files have findings
@@ -31,7 +35,7 @@
     Conflict {
         /// The generation in force.
         current: Generation,
-        /// What changed beneath the operator, a line each.
+        /// The changes since the base generation, one line each.
         changes: Vec<String>,
     },
     /// the platform refused, so nothing was changed: {0}
@@ -40,11 +44,11 @@
     Unknown(Error),
 }
 
-/// Puts files in force as a whole, and keeps a record of the attempt.
+/// Applies all files of a request atomically, and records the change if it is refused.
 ///
 /// # Errors
 ///
-/// When the change was refused, or what became of it cannot be learned.
+/// If the change is refused, or if its outcome cannot be determined.
 pub async fn apply(store: &dyn ObjectStore, request: &ApplyRequest) -> Result<Generation, Refusal> {
     let result = try_apply(store, request).await;
     match &result {
@@ -74,18 +78,18 @@
         let failed = match step(store, request, &mut swapping).await {
             Ok(Step::Accepted(generation)) => return Ok(generation),
             Ok(Step::Conflict(current)) => return conflict(store, request, current).await,
-            Ok(Step::Again) => None,
+            Ok(Step::Retry) => None,
             Err(error @ Error::Refused(_)) => return Err(Refusal::NotChanged(error)),
             Err(error) => Some(error),
         };
-        if let (Some(error), true) = (failed, attempt >= ATTEMPTS) {
+        if let (Some(error), true) = (failed, attempt >= MAX_ATTEMPTS) {
             return Err(if swapping {
                 Refusal::Unknown(error)
             } else {
                 Refusal::NotChanged(error)
             });
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -93,7 +97,7 @@
     for part in &request.files {
         let key = object::part(part_digest(&part.text));
         match store.write(&key, part.text.clone(), Expect::Absent).await {
-            // The key is the content's digest, so what is there is the same.
+            // The key is the digest of the content, so an existing object is identical.
             Ok(_) | Err(Error::Conflict) => {}
             Err(error) => return Err(error),
         }
@@ -101,16 +105,18 @@
     Ok(())
 }
 
+/// The result of one attempt at a change.
 enum Step {
     Accepted(Generation),
     Conflict(Generation),
-    /// The root changed between reading and writing it: read it again.
-    Again,
+    /// The root changed between the read and the write; the attempt has to be repeated.
+    Retry,
 }
 
-/// Writes the files, reads the root and swaps it, if it is the one that the change is based on.
+/// Writes the files and replaces the root if its generation is the base of the change.
 ///
-/// Sets `swapping` once a swap was sent, since from then on it may have taken effect.
+/// Sets `swapping` before it sends the replacement of the root, which may take effect even if the
+/// reply is lost.
 async fn step(
     store: &dyn ObjectStore,
     request: &ApplyRequest,
@@ -125,32 +131,33 @@
         Verdict::Swap(next) => next,
     };
     if let Some(root) = &root {
-        keep(store, root).await?;
+        save_history(store, root).await?;
     }
     let expect = read.map_or(Expect::Absent, |object| Expect::Revision(object.revision));
     let value = serde_json::to_string(&next).unwrap_or_default();
     *swapping = true;
     match store.write(object::ROOT, value, expect).await {
         Ok(_) => Ok(Step::Accepted(next.generation)),
-        Err(Error::Conflict) => Ok(Step::Again),
+        Err(Error::Conflict) => Ok(Step::Retry),
         Err(error) => Err(error),
     }
 }
 
-/// Keeps the record of an accepted change, before the root is swapped away.
-async fn keep(store: &dyn ObjectStore, root: &Root) -> Result<(), Error> {
+/// Saves the current root in the history before it is replaced, and removes the oldest entry.
+async fn save_history(store: &dyn ObjectStore, root: &Root) -> Result<(), Error> {
     let value = serde_json::to_string(root).unwrap_or_default();
     match store.write(&object::history(root.generation), value, Expect::Absent).await {
         Ok(_) | Err(Error::Conflict) => {}
         Err(error) => return Err(error),
     }
-    if let Some(oldest) = root.generation.as_u64().checked_sub(KEPT) {
+    if let Some(oldest) = root.generation.as_u64().checked_sub(MAX_HISTORY) {
         store.remove(&object::history(Generation::new(oldest))).await?;
     }
     Ok(())
 }
 
-/// A conflict, unless the change was accepted and others have followed since.
+/// Returns a conflict, unless the history shows that this operation was accepted and that later
+/// changes have replaced it.
 async fn conflict(
     store: &dyn ObjectStore,
     request: &ApplyRequest,
@@ -164,7 +171,8 @@
     Err(Refusal::Conflict { current, changes })
 }
 
-/// What changed since a generation, a line each; `None` when that cannot be told.
+/// Returns the changes since a generation, one line each; `None` if an object that is needed
+/// cannot be read.
 async fn changes_since(store: &dyn ObjectStore, base: Generation) -> Option<Vec<String>> {
     let current = read_root(store, object::ROOT).await?;
     let after = configuration(store, &current).await?;
@@ -195,7 +203,7 @@
     let outcome = match refusal {
         Refusal::Conflict { .. } => Outcome::Conflict,
         Refusal::Findings(_) | Refusal::NotChanged(_) => Outcome::Refused,
-        // Whether it was accepted shows in the roots that are kept.
+        // If it was accepted, the history of roots shows it.
         Refusal::Unknown(_) => return,
     };
     let at_ms = unix_ms();
@@ -211,15 +219,15 @@
     let value = serde_json::to_string(&record).unwrap_or_default();
     let key = object::refused(at_ms, &request.operation);
     if let Err(error) = store.write(&key, value, Expect::Any).await {
-        tracing::warn!(%error, "keeping the record of a refused change");
+        tracing::warn!(%error, "failed to record a refused change");
     }
 }
 
-/// The audit trail, newest first: accepted changes and refused ones.
+/// Returns the audit trail of accepted and refused changes, newest first.
 ///
 /// # Errors
 ///
-/// When the platform does not answer.
+/// If the platform does not answer.
 pub async fn audit(store: &dyn ObjectStore) -> Result<Vec<Audit>, Error> {
     let mut records = Vec::new();
     let history = store.list(object::HISTORY).await?.objects;
@@ -236,6 +244,7 @@
     Ok(records)
 }
 
+/// Converts the root of an accepted change into its audit record.
 fn accepted(root: Root) -> Audit {
     Audit {
         operation: root.operation,
--- a/src/cinderspoke/entry/at_most_once.rs
+++ b/src/cinderspoke/entry/at_most_once.rs
@@ -1,9 +1,9 @@
-//! At most once: claims on callers' keys, kept in the platform's object API.
+//! At-most-once execution: claims on callers' keys, stored in the platform's object API.
 //!
-//! A request that may run once and carries a key is claimed before it leaves
-//! the entry instance, by creating an object that must not exist yet. Of all
-//! entry instances that get the same key, whenever and in whatever state, one
-//! creates it. See `docs/design/once.md` for what this costs and refuses.
+//! Before an entry instance forwards a request that has a key and may run only once, it claims the
+//! key by creating an object that must not exist yet. If several entry instances receive the same
+//! key, at any time and in any state, exactly one of them creates the object. See
+//! `docs/design/once.md` for the cost of a claim and for the requests that are refused.
 
 use std::time::Duration;
 
@@ -15,27 +15,27 @@
 use crate::ports::{Error, Expect, ObjectStore};
 use crate::util::clock::unix_ms;
 
-/// How often a claim whose reply was lost is looked into.
-const ATTEMPTS: u32 = 3;
+/// Upper bound on the attempts to write a claim whose reply is lost.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// How long to wait before looking again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a key is remembered.
-const REMEMBERED: Duration = Duration::from_secs(24 * 3600);
+/// How long a claim is retained.
+const CLAIM_RETENTION: Duration = Duration::from_secs(24 * 3600);
 
-/// What became of a claim.
+/// The outcome of a claim.
 #[derive(Debug)]
 pub enum ClaimOutcome {
-    /// This attempt may run; nobody else's may.
+    /// This attempt holds the key and is the only one that may run.
     Claimed,
-    /// Another attempt with the same key was first.
+    /// Another attempt with the same key claimed it first.
     Taken,
     /// The platform does not answer, so this attempt must not run.
     Unknown(Error),
 }
 
-/// One attempt at a request with a key.
+/// An attempt to run a request that has a key.
 #[derive(Debug, Clone)]
 pub struct Attempt {
     key: String,
@@ -43,7 +43,8 @@
 }
 
 impl Attempt {
-    /// An attempt that no other one is mistaken for.
+    /// Creates an attempt. The pair of `instance` and `number` identifies it, so no other attempt
+    /// may have the same pair.
     #[must_use]
     pub fn new(
         service: &Service,
@@ -52,7 +53,8 @@
         instance: &Instance,
         number: u64,
     ) -> Self {
-        // Teams cannot take each other's keys, and a key may have any form.
+        // The digest includes the team, so that teams cannot claim each other's keys. It also
+        // allows any characters in a key.
         let digest = Digest::of(format!("{service}\n{team}\n{key}").as_bytes());
         let at_ms = unix_ms();
         let claim = Claim { instance: instance.clone(), number, at_ms };
@@ -66,53 +68,54 @@
             match store.write(&self.key, value.clone(), Expect::Absent).await {
                 Ok(_) => return ClaimOutcome::Claimed,
                 Err(Error::Conflict) => return self.verify(store).await,
-                // The reply may be lost and the claim made: the next write tells.
-                Err(error) if attempt >= ATTEMPTS => return ClaimOutcome::Unknown(error),
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                // The claim may exist although its reply was lost; the next write then conflicts.
+                Err(error) if attempt >= MAX_ATTEMPTS => return ClaimOutcome::Unknown(error),
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         ClaimOutcome::Taken
     }
 
-    /// Looks whose claim it is that stands.
+    /// Determines after a conflict whether the stored claim is that of this attempt.
     async fn verify(&self, store: &dyn ObjectStore) -> ClaimOutcome {
         match store.read(&self.key).await {
             Ok(Some(object)) => {
-                let standing =
+                let stored =
                     object.value.and_then(|value| serde_json::from_str::<Claim>(&value).ok());
-                if standing.as_ref() == Some(&self.claim) {
+                if stored.as_ref() == Some(&self.claim) {
                     ClaimOutcome::Claimed
                 } else {
                     ClaimOutcome::Taken
                 }
             }
-            // Removed in between: whoever had it has not run, but this attempt is late.
+            // The claim was removed after the conflict. Its holder has not run, but this attempt
+            // does not claim the key again.
             Ok(None) => ClaimOutcome::Taken,
             Err(error) => ClaimOutcome::Unknown(error),
         }
     }
 
-    /// Gives the key back after the attempt has not run.
+    /// Releases the key of an attempt that has not run.
     ///
-    /// When that fails the key stays taken, which is safe.
+    /// If this fails, the key stays claimed, which is safe.
     pub async fn release(&self, store: &dyn ObjectStore) {
         if let Err(error) = store.remove(&self.key).await {
-            tracing::warn!(%error, "giving back a key");
+            tracing::warn!(%error, "failed to release a key");
         }
     }
 }
 
-/// Forgets keys that are older than they have to be remembered.
+/// Removes claims that are older than the retention time.
 ///
 /// # Errors
 ///
-/// When the platform does not answer.
+/// If the platform does not answer.
 pub async fn remove_expired(store: &dyn ObjectStore) -> Result<(), Error> {
     let now = unix_ms();
-    let remembered = u64::try_from(REMEMBERED.as_millis()).unwrap_or(u64::MAX);
+    let retention = u64::try_from(CLAIM_RETENTION.as_millis()).unwrap_or(u64::MAX);
     for object in store.list(object::ONCE).await?.objects {
         let claim = object.value.and_then(|value| serde_json::from_str::<Claim>(&value).ok());
-        if claim.is_none_or(|claim| claim.at_ms + remembered < now) {
+        if claim.is_none_or(|claim| claim.at_ms + retention < now) {
             store.remove(&object.key).await?;
         }
     }
--- a/src/cinderspoke/entry/callers/attempt.rs
+++ b/src/cinderspoke/entry/callers/attempt.rs
@@ -1,4 +1,4 @@
-//! Trying replicas until one answers, and streaming its answer back.
+//! Sends a request to one replica after another until one answers, and streams the answer back.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -22,48 +22,48 @@
 use crate::util::http::{Error, uri};
 use crate::util::metrics::ATTEMPTS;
 
-/// How long a replica may take until its answer starts.
+/// Timeout for the head of a replica's answer.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Headers that say something of a connection, not of a request.
+/// Headers that apply to one connection (hop-by-hop) and are not forwarded.
 const HOP_BY_HOP: [&str; 7] =
     ["connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "host"];
 
-/// The replica that answered, and the count of its requests in progress.
-pub(super) struct Answering {
+/// The replica that answered, with its counter of requests in progress.
+pub(super) struct Responder {
     instance: Instance,
     manifest: Option<Digest>,
-    _in_flight: Counted,
+    _in_flight: InFlightGuard,
 }
 
-/// Adds one to a counter until it is dropped.
-struct Counted(Arc<std::sync::atomic::AtomicU32>);
+/// Increments a counter and decrements it when dropped.
+struct InFlightGuard(Arc<std::sync::atomic::AtomicU32>);
 
-impl Counted {
+impl InFlightGuard {
     fn new(counter: &Arc<std::sync::atomic::AtomicU32>) -> Self {
         counter.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(counter))
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Tries replicas until one answers or nothing more may be tried.
+/// Sends a request to one replica after another until one answers or no further attempt is allowed.
 pub(super) async fn attempt_all(
     context: &Context,
     parsed: &Parsed,
-) -> Result<(http::Response<Body>, Answering), Refusal> {
-    let salt = context.requests.fetch_add(1, Ordering::Relaxed);
+) -> Result<(http::Response<Body>, Responder), Refusal> {
+    let salt = context.next_number.fetch_add(1, Ordering::Relaxed);
     let request = route::Request { prefix: parsed.prefix, salt };
     let mut tried: Vec<Instance> = Vec::new();
     let mut lost = false;
     let mut reason = String::from("no replica can answer now");
     loop {
-        // Read anew each time: the replica that failed may be known as gone by now.
+        // Load the view for each attempt, since it may have removed the replica that failed.
         let view = context.parts.control.view();
         let route = route_of(&view, &parsed.service)?;
         let Some(target) = pick(route, &request, &tried) else { break };
@@ -110,8 +110,8 @@
     context: &Context,
     parsed: &Parsed,
     target: &Target,
-) -> Result<(http::Response<Body>, Answering), (Failure, String)> {
-    let in_flight = Counted::new(&target.in_flight);
+) -> Result<(http::Response<Body>, Responder), (Failure, String)> {
+    let in_flight = InFlightGuard::new(&target.in_flight);
     let request =
         request_to_agent(parsed, target).map_err(|error| (Failure::NotSent, error.to_string()))?;
     let sent = timeout(HEAD_TIMEOUT, context.parts.client.send(target.address, request)).await;
@@ -119,16 +119,16 @@
         Ok(Ok(response)) => response,
         Ok(Err(error @ Error::Connect(..))) => return Err((Failure::NotSent, error.to_string())),
         Ok(Err(error)) => return Err((Failure::Lost, error.to_string())),
-        Err(_) => return Err((Failure::Lost, "its answer did not start in time".into())),
+        Err(_) => return Err((Failure::Lost, "it did not start to answer in time".into())),
     };
     let outcome = response.headers().get(OUTCOME).map(HeaderValue::as_bytes);
     match outcome {
         Some(b"answered") => {
             let (instance, manifest) = (target.instance.clone(), target.manifest);
-            let answering = Answering { instance, manifest, _in_flight: in_flight };
-            Ok((response, answering))
+            let responder = Responder { instance, manifest, _in_flight: in_flight };
+            Ok((response, responder))
         }
-        Some(b"not-run") => Err((Failure::Refused, "it did not take the request".into())),
+        Some(b"not-run") => Err((Failure::Refused, "it refused the request".into())),
         _ => Err((Failure::Lost, format!("it answered {}", response.status()))),
     }
 }
@@ -155,28 +155,30 @@
 
 /// Streams a replica's answer to the caller.
 ///
-/// What counts the request lives as long as the stream. When the stream breaks
-/// off, so does the caller's: a part is never passed off as a whole.
-pub(super) fn pass_back(
+/// The request counts as in progress until the stream ends. If the replica's stream fails, the
+/// caller's connection fails too, so that the caller does not mistake a partial answer for a
+/// complete one.
+pub(super) fn respond(
     response: http::Response<Body>,
-    answering: Answering,
+    responder: Responder,
     admitted: Admitted,
 ) -> Response {
     let (mut head, body) = response.into_parts();
     for name in HOP_BY_HOP {
         head.headers.remove(name);
     }
-    if let Ok(instance) = HeaderValue::try_from(answering.instance.as_str()) {
+    if let Ok(instance) = HeaderValue::try_from(responder.instance.as_str()) {
         head.headers.insert(INSTANCE, instance);
     }
-    if let Some(manifest) = answering.manifest
+    if let Some(manifest) = responder.manifest
         && let Ok(manifest) = HeaderValue::try_from(manifest.to_string())
     {
         head.headers.insert(MANIFEST, manifest);
     }
-    let held = (answering, admitted);
+    let guards = (responder, admitted);
     let stream = body.into_data_stream().map(move |frame| {
-        let _held = &held;
+        // Moves the guards into the closure.
+        let _guards = &guards;
         frame
     });
     Response::from_parts(head, Body::from_stream(stream))
--- a/src/cinderspoke/entry/callers/mod.rs
+++ b/src/cinderspoke/entry/callers/mod.rs
@@ -1,7 +1,8 @@
-//! Callers' requests: from the balancer to a replica and back.
+//! Serves callers' requests: parses and admits a request, sends it to a replica and returns the
+//! answer.
 //!
-//! Every answer names its outcome in the header [`OUTCOME`]; see the callers'
-//! page of the documentation.
+//! Every answer states its outcome in the header [`OUTCOME`]; see the callers' page of the
+//! documentation.
 
 mod attempt;
 mod parse;
@@ -24,7 +25,7 @@
 use metrics::{counter, histogram};
 use tokio::time::Instant;
 
-use self::attempt::{attempt_all, pass_back};
+use self::attempt::{attempt_all, respond};
 use self::parse::{Parsed, receive};
 use self::refusal::Refusal;
 use super::at_most_once::{Attempt, ClaimOutcome};
@@ -38,64 +39,66 @@
 /// The header that names the caller's team.
 pub const TEAM: &str = "cinderspoke-team";
 
-/// The header by which a caller forbids that its request runs twice, with the value `never`.
+/// The header by which a caller forbids that its request runs more than once; its value is `never`.
 pub const REPEAT: &str = "cinderspoke-repeat";
 
-/// The header by which a caller's second try at a request is recognised.
+/// The header with the caller's key, which identifies repeated sends of the same request.
 pub const KEY: &str = "cinderspoke-key";
 
-/// The header that says what became of a request.
+/// The header with the outcome of a request.
 pub const OUTCOME: &str = "cinderspoke-outcome";
 
-/// The header that names the weights: of an answer, or asked of an agent.
+/// The header with the manifest of the weights: in an answer those that were used, in a request to
+/// an agent those to use.
 pub const MANIFEST: &str = "cinderspoke-manifest";
 
-/// The header by which an entry instance tells an agent a request's priority.
+/// The header with the priority of a request that an entry instance sends to an agent.
 pub const PRIORITY: &str = "cinderspoke-priority";
 
-/// The header that names the instance that answered.
+/// The header with the name of the instance that answered.
 pub const INSTANCE: &str = "cinderspoke-instance";
 
-/// When a caller whose request found no replica may come back.
+/// Retry delay for a caller whose request found no replica.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What answering callers is made of.
+/// The dependencies of the callers' router.
 pub struct Parts {
-    /// The running control task.
+    /// Handle of the control task.
     pub control: Handle,
-    /// How agents are reached.
+    /// The HTTP client for calls to agents.
     pub client: Client,
-    /// Where keys are claimed.
+    /// The store in which keys are claimed.
     pub store: Arc<dyn ObjectStore>,
-    /// This entry instance.
+    /// The name of this entry instance.
     pub instance: Instance,
-    /// The largest body of a request.
+    /// Upper bound on the size of a request body.
     pub body_limit: size::Bytes,
 }
 
-/// What answering a request needs.
+/// The shared state of the request handlers.
 struct Context {
     parts: Parts,
     gate: Mutex<Limits>,
     clock: Clock,
-    // Unlike any number of a former process on the same instance.
-    requests: AtomicU64,
+    // Starts at the incarnation, so that no number repeats one of an earlier process on this
+    // instance.
+    next_number: AtomicU64,
 }
 
-/// The limits, and the generation that they were taken from.
+/// The admission gate and the generation of the configuration that it applies.
 #[derive(Default)]
 struct Limits {
     gate: Limiter,
     generation: Generation,
 }
 
-/// The routes for callers.
+/// Builds the router for callers.
 pub fn app(parts: Parts) -> Router {
     let context = Context {
         parts,
         gate: Mutex::default(),
         clock: Clock::start(),
-        requests: AtomicU64::new(incarnation().as_u64()),
+        next_number: AtomicU64::new(incarnation().as_u64()),
     };
     Router::new().fallback(answer).with_state(Arc::new(context))
 }
@@ -122,7 +125,7 @@
     let admitted = admit(context, &view, &parsed, route)?;
     let claimed = claim(context, &parsed).await?;
     match attempt_all(context, &parsed).await {
-        Ok((response, target)) => Ok(pass_back(response, target, admitted)),
+        Ok((response, target)) => Ok(respond(response, target, admitted)),
         Err(refusal) => {
             if let (Some(attempt), Outcome::NotRun) = (claimed, refusal.outcome) {
                 attempt.release(context.parts.store.as_ref()).await;
@@ -132,7 +135,7 @@
     }
 }
 
-/// The route to a service.
+/// Looks up the route to a service.
 fn route_of<'a>(view: &'a View, service: &Service) -> Result<&'a Route, Refusal> {
     if view.active.is_none() {
         let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -150,7 +153,7 @@
     view.routes.get(service).ok_or_else(missing)
 }
 
-/// Counts a request that is in progress, until it is dropped.
+/// A request that the gate has admitted. Dropping it tells the gate that the request has ended.
 struct Admitted {
     context: Arc<Context>,
     service: Service,
@@ -190,12 +193,12 @@
     }
 }
 
-/// Claims the key of a request that may run once, where it has one.
+/// Claims the key of a request that has one and may run only once.
 async fn claim(context: &Context, parsed: &Parsed) -> Result<Option<Attempt>, Refusal> {
     let Some(key) = parsed.key.as_deref().filter(|_| parsed.repeat == Repeat::Forbidden) else {
         return Ok(None);
     };
-    let number = context.requests.fetch_add(1, Ordering::Relaxed);
+    let number = context.next_number.fetch_add(1, Ordering::Relaxed);
     let Parts { store, instance, .. } = &context.parts;
     let attempt = Attempt::new(&parsed.service, &parsed.team, key, instance, number);
     match attempt.claim(store.as_ref()).await {
--- a/src/cinderspoke/entry/callers/parse.rs
+++ b/src/cinderspoke/entry/callers/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a request whole, and finding all that is wrong with it.
+//! Reads a request and checks it, reporting all errors in its path and headers at once.
 
 use std::time::Duration;
 
@@ -17,16 +17,16 @@
 use super::{Context, KEY, REPEAT, TEAM, route_of};
 use crate::entry::view::View;
 
-/// The longest key, in characters.
-const MAX_KEY: usize = 200;
+/// Upper bound on the length of a key, in characters.
+const MAX_KEY_LENGTH: usize = 200;
 
-/// How long a caller may take to send its request.
+/// Timeout for receiving the body of a request.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How many characters of a prompt make up the prefix by which it is routed.
-const PREFIX: usize = 256;
+/// Length of the prefix of a prompt by which a request is routed, in characters.
+const PREFIX_LENGTH: usize = 256;
 
-/// A request that has been understood.
+/// A parsed request.
 pub(super) struct Parsed {
     pub(super) service: Service,
     pub(super) team: Team,
@@ -40,7 +40,7 @@
     pub(super) priority: Priority,
 }
 
-/// Reads a request whole, and finds all that is wrong with it.
+/// Reads a request with its whole body and checks it.
 pub(super) async fn receive(
     context: &Context,
     view: &View,
@@ -48,30 +48,30 @@
 ) -> Result<Parsed, Refusal> {
     let (head, body) = request.into_parts();
     let path = head.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str).to_owned();
-    let mut wrong = Vec::new();
+    let mut errors = Vec::new();
     let (service, path) = split_path(&path).unwrap_or_else(|| {
-        wrong.push(format!("the path {path:?} is not /v1/services/NAME/..."));
+        errors.push(format!("the path {path:?} is not /v1/services/NAME/..."));
         (String::new(), path.clone())
     });
-    let service = parse_id(&service, "the service", &mut wrong);
+    let service = parse_id(&service, "the service", &mut errors);
     let team = match head.headers.get(TEAM) {
-        Some(team) => parse_id(&String::from_utf8_lossy(team.as_bytes()), "the team", &mut wrong),
+        Some(team) => parse_id(&String::from_utf8_lossy(team.as_bytes()), "the team", &mut errors),
         None => {
-            wrong.push(format!("the header {TEAM} is missing"));
+            errors.push(format!("the header {TEAM} is missing"));
             None
         }
     };
-    let asked = repeat_asked(&head.headers, &mut wrong);
-    let key = key(&head.headers, &mut wrong);
-    let (Some(service), Some(team), true) = (service, team, wrong.is_empty()) else {
-        return Err(Refusal::invalid(StatusCode::BAD_REQUEST, "bad-request", wrong.join("; ")));
+    let requested = requested_repeat(&head.headers, &mut errors);
+    let key = key(&head.headers, &mut errors);
+    let (Some(service), Some(team), true) = (service, team, errors.is_empty()) else {
+        return Err(Refusal::invalid(StatusCode::BAD_REQUEST, "bad-request", errors.join("; ")));
     };
     let declared = &route_of(view, &service)?.service;
     check_team(view, declared, &team)?;
     let body = read_body(context, body).await?;
     let bare_path = path.split('?').next().unwrap_or_default();
     let by_rule = outcome::repeat(declared, head.method.as_str(), bare_path);
-    let repeat = if asked == Repeat::Forbidden { asked } else { by_rule };
+    let repeat = if requested == Repeat::Forbidden { requested } else { by_rule };
     let prefix = match declared.kind {
         Kind::Model => Some(read_prompt(&head.method, bare_path, &body)?),
         Kind::Plain => None,
@@ -90,7 +90,7 @@
     })
 }
 
-/// The service's name and the path below it.
+/// Splits a path into the name of the service and the path below it.
 fn split_path(path: &str) -> Option<(String, String)> {
     let rest = path.strip_prefix("/v1/services/")?;
     let (service, path) = rest.split_at(rest.find(['/', '?'])?);
@@ -100,19 +100,19 @@
 fn parse_id<T: std::str::FromStr<Err: std::fmt::Display>>(
     text: &str,
     what: &str,
-    wrong: &mut Vec<String>,
+    errors: &mut Vec<String>,
 ) -> Option<T> {
     let parsed = text.parse();
-    parsed.map_err(|error| wrong.push(format!("{what} {error}"))).ok()
+    parsed.map_err(|error| errors.push(format!("{what} {error}"))).ok()
 }
 
-fn repeat_asked(headers: &HeaderMap, wrong: &mut Vec<String>) -> Repeat {
+fn requested_repeat(headers: &HeaderMap, errors: &mut Vec<String>) -> Repeat {
     match headers.get(REPEAT).map(HeaderValue::as_bytes) {
         None => Repeat::Allowed,
         Some(b"never") => Repeat::Forbidden,
         Some(other) => {
             let other = String::from_utf8_lossy(other);
-            wrong.push(format!(
+            errors.push(format!(
                 "the header {REPEAT} is {other:?}: expected \"never\" or no such header"
             ));
             Repeat::Forbidden
@@ -120,13 +120,14 @@
     }
 }
 
-/// The key by which the caller's own second try is recognised.
-fn key(headers: &HeaderMap, wrong: &mut Vec<String>) -> Option<String> {
+/// Returns the caller's key, which identifies repeated sends of the same request.
+fn key(headers: &HeaderMap, errors: &mut Vec<String>) -> Option<String> {
     let value = headers.get(KEY)?;
     match value.to_str() {
-        Ok(key) if (1..=MAX_KEY).contains(&key.len()) => Some(key.to_owned()),
+        Ok(key) if (1..=MAX_KEY_LENGTH).contains(&key.len()) => Some(key.to_owned()),
         _ => {
-            wrong.push(format!("the header {KEY} is not 1 to {MAX_KEY} characters of ASCII"));
+            errors
+                .push(format!("the header {KEY} is not 1 to {MAX_KEY_LENGTH} characters of ASCII"));
             None
         }
     }
@@ -147,37 +148,37 @@
     Err(Refusal::invalid(StatusCode::FORBIDDEN, "not-allowed", reason))
 }
 
-/// Reads the body whole, within its limits of size and time.
+/// Reads the whole body within the limits on its size and on the time to receive it.
 async fn read_body(context: &Context, body: Body) -> Result<Bytes, Refusal> {
     let limited = Limited::new(body, context.parts.body_limit.as_usize());
     match timeout(RECEIVE_TIMEOUT, limited.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            let reason = format!("the body is above {}", context.parts.body_limit);
+            let reason = format!("the body is larger than {}", context.parts.body_limit);
             Err(Refusal::invalid(StatusCode::PAYLOAD_TOO_LARGE, "too-large", reason))
         }
         Ok(Err(error)) => {
-            let reason = format!("the body broke off: {error}");
+            let reason = format!("the body is incomplete: {error}");
             Err(Refusal::invalid(StatusCode::BAD_REQUEST, "broken", reason))
         }
         Err(_) => Err(Refusal::invalid(
             StatusCode::REQUEST_TIMEOUT,
             "too-slow",
-            "the body came too slowly",
+            "the body was not received in time",
         )),
     }
 }
 
-/// The prefix of a request to a model, after checking the request's form.
+/// Checks the form of a request to a model and returns the prefix of its prompt.
 fn read_prompt(method: &Method, path: &str, body: &Bytes) -> Result<Key, Refusal> {
     if method != Method::POST || path != "/generate" {
-        let reason = format!("a model answers POST /generate, not {method} {path}");
+        let reason = format!("a model accepts POST /generate, not {method} {path}");
         return Err(Refusal::invalid(StatusCode::NOT_FOUND, "no-call", reason));
     }
     let request: Generate = serde_json::from_slice(body).map_err(|error| {
-        let reason = format!("the body is no request to a model: {error}");
+        let reason = format!("the body is not a valid request to a model: {error}");
         Refusal::invalid(StatusCode::BAD_REQUEST, "bad-request", reason)
     })?;
-    let prefix: String = request.prompt.chars().take(PREFIX).collect();
+    let prefix: String = request.prompt.chars().take(PREFIX_LENGTH).collect();
     Ok(Key::of(&prefix))
 }
--- a/src/cinderspoke/entry/callers/refusal.rs
+++ b/src/cinderspoke/entry/callers/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals, as callers are told of them.
+//! Refusals of requests and the responses in which callers receive them.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::OUTCOME;
 
-/// A refusal, as the caller is told of it.
+/// The refusal of a request, which becomes a [`Problem`] in the response.
 #[derive(Debug)]
 pub(super) struct Refusal {
     pub(super) outcome: Outcome,
@@ -21,6 +21,7 @@
 }
 
 impl Refusal {
+    /// Refuses a request that is not valid and must not be sent again unchanged.
     pub(super) fn invalid(
         status: StatusCode,
         kind: &'static str,
@@ -29,6 +30,7 @@
         Self { outcome: Outcome::Bad, status, kind, reason: reason.into(), retry_after: None }
     }
 
+    /// Refuses a request that has not run and may be sent again after a delay.
     pub(super) fn not_run(
         status: StatusCode,
         kind: &'static str,
@@ -39,6 +41,7 @@
         Self { outcome: Outcome::NotRun, status, kind, reason, retry_after: Some(after) }
     }
 
+    /// Reports that the request may or may not have run.
     pub(super) fn unknown(reason: impl Into<String>) -> Self {
         let (outcome, status) = (Outcome::Unknown, StatusCode::BAD_GATEWAY);
         Self { outcome, status, kind: "unknown", reason: reason.into(), retry_after: None }
--- a/src/cinderspoke/entry/control.rs
+++ b/src/cinderspoke/entry/control.rs
@@ -1,7 +1,8 @@
-//! The control task of an entry instance: it owns the control state.
+//! The control task of an entry instance, which owns the [`Coordinator`].
 //!
-//! Reads and writes run as tasks of their own and report back as events, so
-//! that a slow platform never holds up heartbeats.
+//! The task passes events to the coordinator, executes the actions that it returns, and publishes a
+//! [`View`] for the other tasks. Reads and writes run in separate tasks and report back as events,
+//! so that a slow platform does not delay heartbeats.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,57 +28,58 @@
 use crate::util::signal::{Receiver, Signal};
 use crate::util::{rpc, stop};
 
-/// How many events may wait for the control task.
-const QUEUE: usize = 4096;
+/// Capacity of the queue of messages to the control task.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// How long a watch waits for news. Its connection may have gone silent for good, which
-/// shows only when the answer is due: with [`WATCH_MARGIN`] that is after 12 s, and a
-/// configuration has 16 s to be in force everywhere.
+/// How long the platform may hold a watch request that has no changes to report. A dead connection
+/// is detected only when the answer is overdue: with [`WATCH_MARGIN`] after 12 s, and a
+/// configuration has to be in force everywhere within 16 s.
 const WATCH_WAIT: Duration = Duration::from_secs(8);
 
-/// How much later than its wait a watch may answer: platforms are slow at times.
+/// Extra time for the answer to a watch beyond [`WATCH_WAIT`], since platforms are slow at times.
 const WATCH_MARGIN: Duration = Duration::from_secs(4);
 
-/// How long to stay away from a platform that did not answer, at first.
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+/// Delay before the first retry after the platform did not answer; doubles with each failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// How long to stay away from a platform that did not answer, at most.
-const LAST_BACKOFF: Duration = Duration::from_secs(5);
+/// Upper bound on the delay before a retry.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// How often callers' old keys are forgotten.
-const SWEEP: Duration = Duration::from_secs(3600);
+/// Interval at which callers' expired keys are removed.
+const KEY_SWEEP_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// How long the view may lag behind the state.
-const PUBLISH_AFTER: Duration = Duration::from_millis(10);
+/// Upper bound on the delay between a change of the state and the next view. Changes within this
+/// time are published together.
+const PUBLISH_DELAY: Duration = Duration::from_millis(10);
 
-/// What reaches the control task.
+/// A message to the control task.
 #[derive(Debug)]
 pub enum Message {
-    /// An event for the control state.
+    /// An event for the coordinator.
     Event(Event),
-    /// Another entry instance asks what this one knows.
+    /// A query by another entry instance for the state of this one.
     Relay(RelayQuery, oneshot::Sender<RelayState>),
 }
 
-/// What the control task works with.
+/// The dependencies and settings of the control task.
 pub struct Parts {
     /// The platform's object API.
     pub store: Arc<dyn ObjectStore>,
     /// The platform's list of instances.
     pub live_list: Arc<dyn LiveList>,
-    /// How other processes are reached.
+    /// The HTTP client for calls to other processes.
     pub client: Client,
-    /// Control addresses of the zone's other entry instances.
+    /// Control addresses of the other entry instances of the availability zone.
     pub peers: Vec<std::net::SocketAddr>,
-    /// Where this entry instance stands.
+    /// The zone and region of this entry instance.
     pub location: Location,
-    /// Settings of the state.
+    /// Settings of the coordinator.
     pub settings: Settings,
-    /// Cancelled when the process stops.
+    /// Cancelled when the process stops; ends all tasks.
     pub stop: CancellationToken,
 }
 
-/// The running control task, as the rest of the process sees it.
+/// A handle to the control task for the rest of the process.
 #[derive(Clone)]
 pub struct Handle {
     messages: mpsc::Sender<Message>,
@@ -86,26 +88,26 @@
 }
 
 impl Handle {
-    /// Sends an event to the control state.
+    /// Sends an event to the coordinator.
     pub async fn send(&self, event: Event) {
-        // A send fails only when the process is stopping.
+        // A send fails only while the process is stopping.
         let _ = self.messages.send(Message::Event(event)).await;
     }
 
-    /// What this instance can tell another one; `None` while stopping.
+    /// Answers a query of another entry instance; `None` while the process is stopping.
     pub async fn relay(&self, query: RelayQuery) -> Option<RelayState> {
         let (sender, receiver) = oneshot::channel();
         self.messages.send(Message::Relay(query, sender)).await.ok()?;
         receiver.await.ok()
     }
 
-    /// Tells of each new snapshot that has news for agents.
+    /// Returns a receiver that is notified of each new view with updates for agents.
     #[must_use]
     pub fn published(&self) -> Receiver {
         self.published.subscribe()
     }
 
-    /// The newest snapshot of the state.
+    /// Returns the latest view of the state.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
@@ -114,7 +116,7 @@
 
 /// Starts the control task and the tasks that feed it, on the current runtime.
 pub fn spawn(parts: Parts) -> Handle {
-    let (messages, inbox) = mpsc::channel(QUEUE);
+    let (messages, inbox) = mpsc::channel(QUEUE_CAPACITY);
     let view = Arc::new(ArcSwap::from_pointee(View::default()));
     let published = Signal::default();
     let handle = Handle { messages, view, published };
@@ -129,10 +131,10 @@
     let stop = || parts.stop.clone();
     tokio::spawn(stop::until(stop(), control.run(inbox)));
     tokio::spawn(stop::until(stop(), watch(Arc::clone(&parts), handle.clone())));
-    tokio::spawn(stop::until(stop(), follow_list(Arc::clone(&parts), handle.clone())));
+    tokio::spawn(stop::until(stop(), poll_instances(Arc::clone(&parts), handle.clone())));
     tokio::spawn(stop::until(stop(), sweep_keys(Arc::clone(&parts), handle.clone())));
     for peer in parts.peers.clone() {
-        tokio::spawn(stop::until(stop(), follow_peer(Arc::clone(&parts), handle.clone(), peer)));
+        tokio::spawn(stop::until(stop(), poll_peer(Arc::clone(&parts), handle.clone(), peer)));
     }
     handle
 }
@@ -156,11 +158,12 @@
                 message = inbox.recv() => message,
             };
             let Some(message) = message else { return };
-            let mut stale = self.take(message);
-            // Whatever else waits is taken in before the view is built once.
-            sleep(if stale { PUBLISH_AFTER } else { Duration::ZERO }).await;
+            let mut stale = self.handle(message);
+            // Messages that arrive meanwhile are handled too, so that the view is rebuilt only
+            // once.
+            sleep(if stale { PUBLISH_DELAY } else { Duration::ZERO }).await;
             while let Ok(message) = inbox.try_recv() {
-                stale |= self.take(message);
+                stale |= self.handle(message);
             }
             if stale {
                 self.publish();
@@ -168,25 +171,26 @@
         }
     }
 
-    /// Takes in a message; true when the view is stale now.
-    fn take(&mut self, message: Message) -> bool {
+    /// Handles a message; returns whether the view is stale.
+    fn handle(&mut self, message: Message) -> bool {
         match message {
             Message::Event(event) => {
                 let actions = self.coordinator.handle(event, self.clock.now());
-                // Every action is carried out, whatever the ones before it gave.
-                let stale: Vec<bool> = actions.into_iter().map(|action| self.act(action)).collect();
+                // Collected first, since `any` would skip the actions after the first stale one.
+                let stale: Vec<bool> =
+                    actions.into_iter().map(|action| self.execute(action)).collect();
                 stale.contains(&true)
             }
             Message::Relay(query, reply) => {
-                // The asker may be gone; then nobody misses the answer.
+                // The send fails if the caller no longer waits, which is harmless.
                 let _ = reply.send(self.coordinator.relay(&query));
                 false
             }
         }
     }
 
-    /// Carries out an action; true when the view is stale now.
-    fn act(&self, action: Action) -> bool {
+    /// Executes an action; returns whether the view is stale.
+    fn execute(&self, action: Action) -> bool {
         let (parts, handle) = (Arc::clone(&self.parts), self.handle.clone());
         match action {
             Action::Publish => return true,
@@ -207,12 +211,12 @@
         let generation = view.generation();
         if generation > self.handle.view().generation() {
             tracing::info!(%generation, "configuration in force");
-            // Generations stay far below what a float holds exactly.
+            // Generations stay far below 2^53, so the conversion is exact.
             gauge!(GENERATION).set(generation.as_u64() as f64);
         }
-        let news = view.has_updates_since(&self.handle.view());
+        let has_updates = view.has_updates_since(&self.handle.view());
         self.handle.view.store(Arc::new(view));
-        if news {
+        if has_updates {
             self.handle.published.raise();
         }
     }
@@ -234,7 +238,7 @@
     let files: Result<Vec<_>, Error> = try_join_all(files).await;
     match files {
         Ok(files) => handle.send(Event::Parts(root, files)).await,
-        Err(error) => tracing::warn!(%error, "reading the configuration's files"),
+        Err(error) => tracing::warn!(%error, "failed to read the files of a configuration"),
     }
 }
 
@@ -242,7 +246,7 @@
     match parts.store.read(&key).await {
         Ok(Some(object)) => handle.send(Event::Objects(vec![object])).await,
         Ok(None) => {}
-        Err(error) => tracing::debug!(%error, key, "reading an object"),
+        Err(error) => tracing::debug!(%error, key, "failed to read an object"),
     }
 }
 
@@ -251,16 +255,17 @@
     match parts.store.write(&write.key, write.value.clone(), write.expect).await {
         Ok(revision) => handle.send(Event::Written { write, revision, sent }).await,
         Err(error) => {
-            tracing::debug!(%error, key = write.key, "writing an object");
+            tracing::debug!(%error, key = write.key, "failed to write an object");
             handle.send(Event::NotWritten(write)).await;
         }
     }
 }
 
-/// Follows the objects that every entry instance watches.
+/// Watches the objects of the platform that every entry instance needs, and sends changes as
+/// events.
 async fn watch(parts: Arc<Parts>, handle: Handle) {
     let mut after: Option<Revision> = None;
-    let mut backoff = FIRST_BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     loop {
         let listing = match after {
             None => parts.store.list(object::WATCHED).await,
@@ -268,30 +273,30 @@
                 let watch = parts.store.watch(object::WATCHED, after, WATCH_WAIT);
                 timeout(WATCH_WAIT + WATCH_MARGIN, watch)
                     .await
-                    .unwrap_or_else(|_| Err(Error::Unavailable("silence".into())))
+                    .unwrap_or_else(|_| Err(Error::Unavailable("no answer in time".into())))
             }
         };
         match listing {
             Ok(listing) => {
-                backoff = FIRST_BACKOFF;
+                backoff = MIN_BACKOFF;
                 after = Some(listing.revision);
                 if !listing.objects.is_empty() {
                     handle.send(Event::Objects(listing.objects)).await;
                 }
             }
             Err(error) => {
-                tracing::warn!(%error, "watching the platform");
-                // What was missed meanwhile is read anew as a whole.
+                tracing::warn!(%error, "failed to watch the platform");
+                // Changes may have been missed, so the next request reads the whole list.
                 after = None;
                 sleep(backoff).await;
-                backoff = (backoff * 2).min(LAST_BACKOFF);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
-/// Follows the platform's list of instances.
-async fn follow_list(parts: Arc<Parts>, handle: Handle) {
+/// Polls the platform's list of instances for those that are draining.
+async fn poll_instances(parts: Arc<Parts>, handle: Handle) {
     let mut ticks = interval(parts.settings.heartbeat * 2);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -301,27 +306,27 @@
                 let leaving = listed.into_iter().filter(|listed| listed.state == State::Leaving);
                 handle.send(Event::Leaving(leaving.map(|listed| listed.instance).collect())).await;
             }
-            Err(error) => tracing::debug!(%error, "reading the list of instances"),
+            Err(error) => tracing::debug!(%error, "failed to read the list of instances"),
         }
     }
 }
 
-/// Forgets callers' old keys, while this instance is the planner.
+/// Removes callers' expired keys periodically while this instance is the planner.
 async fn sweep_keys(parts: Arc<Parts>, handle: Handle) {
-    let mut ticks = interval(SWEEP);
+    let mut ticks = interval(KEY_SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         if handle.view().is_planner
             && let Err(error) = at_most_once::remove_expired(parts.store.as_ref()).await
         {
-            tracing::warn!(%error, "forgetting old keys");
+            tracing::warn!(%error, "failed to remove expired keys");
         }
     }
 }
 
-/// Asks another entry instance of the zone for what it knows.
-async fn follow_peer(parts: Arc<Parts>, handle: Handle, peer: std::net::SocketAddr) {
+/// Polls the state of another entry instance of the availability zone.
+async fn poll_peer(parts: Arc<Parts>, handle: Handle, peer: std::net::SocketAddr) {
     let client = rpc::Client::new(parts.client.clone(), peer);
     let mut ticks = interval(parts.settings.heartbeat);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -330,7 +335,7 @@
         let query = RelayQuery { generation: handle.view().generation() };
         match client.relay(&query).await {
             Ok(state) => handle.send(Event::Relay(state)).await,
-            Err(error) => tracing::debug!(%peer, %error, "asking a peer"),
+            Err(error) => tracing::debug!(%peer, %error, "failed to query a peer"),
         }
     }
 }
--- a/src/cinderspoke/entry/mod.rs
+++ b/src/cinderspoke/entry/mod.rs
@@ -33,25 +33,25 @@
 use crate::util;
 use crate::util::http::Client;
 
-/// How long an entry instance that stops still takes new requests, so that
-/// the balancer in front of it can turn away first.
-const LAME_DUCK: Duration = Duration::from_secs(2);
+/// How long an entry instance that shuts down still accepts new requests, so that the load balancer
+/// in front of it can take it out of rotation first.
+const LAME_DUCK_PERIOD: Duration = Duration::from_secs(2);
 
-/// What an entry instance is made of besides its settings.
+/// The dependencies of an entry instance.
 pub struct Parts {
     /// The platform's object API.
     pub store: Arc<dyn ObjectStore>,
     /// The platform's list of instances.
     pub live_list: Arc<dyn LiveList>,
-    /// How other processes are reached.
+    /// The HTTP client for calls to other processes.
     pub client: Client,
-    /// Where the process's metrics are collected, if they are.
+    /// The metrics recorder; `None` if metrics are not collected.
     pub metrics: Option<PrometheusHandle>,
-    /// Where control tasks run.
+    /// The runtime of the control tasks.
     pub control: runtime::Handle,
 }
 
-/// What an entry instance answers, by listener.
+/// The routers of an entry instance, one for each listener.
 #[derive(Debug, Clone)]
 pub struct Routers {
     /// For callers.
@@ -62,25 +62,25 @@
     pub admin: Router,
 }
 
-/// A running entry instance; dropping it ends its control tasks.
+/// A running entry instance. Dropping it ends its control tasks.
 pub struct Entry {
     handle: control::Handle,
     routers: Routers,
-    // Cancelled first: the process reports itself as not ready.
+    // Cancelled first: `/readyz` then reports that the process is stopping.
     draining: CancellationToken,
-    // Cancelled second: no new connections are taken.
+    // Cancelled second: the listeners then accept no new connections.
     closing: CancellationToken,
-    // Cancelled last: control ends.
+    // Cancelled last: ends the control tasks.
     stop: CancellationToken,
     servers: Vec<JoinHandle<()>>,
 }
 
 impl Entry {
-    /// Starts an entry instance that does not listen yet.
+    /// Starts the control tasks of an entry instance, without listening yet.
     ///
     /// # Errors
     ///
-    /// When its routes contradict each other.
+    /// If an RPC method is registered twice.
     pub fn open(settings: &settings::Entry, parts: Parts) -> Result<Self> {
         let stop = CancellationToken::new();
         let (draining, closing) = (CancellationToken::new(), CancellationToken::new());
@@ -107,11 +107,11 @@
         Ok(Self { handle, routers, draining, closing, stop, servers: Vec::new() })
     }
 
-    /// Listens on the addresses of the settings.
+    /// Listens on the addresses in the settings.
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened to.
+    /// If an address cannot be bound.
     pub async fn bind(&mut self, settings: &settings::Entry) -> Result<()> {
         let Routers { callers, control, admin } = self.routers.clone();
         for (address, app) in
@@ -125,26 +125,26 @@
         Ok(())
     }
 
-    /// What it answers, by listener.
+    /// Returns the routers, for tests that call them without a network.
     #[must_use]
     pub fn routers(&self) -> &Routers {
         &self.routers
     }
 
-    /// The running control task.
+    /// Returns the handle of the control task.
     #[must_use]
     pub fn handle(&self) -> &control::Handle {
         &self.handle
     }
 
-    /// Stops in order: no request in progress is cut off.
+    /// Shuts down gracefully: waits until all requests in progress have ended.
     pub async fn stop(mut self) {
         tracing::info!("stopping");
         self.draining.cancel();
-        tokio::time::sleep(LAME_DUCK).await;
+        tokio::time::sleep(LAME_DUCK_PERIOD).await;
         self.closing.cancel();
         for server in self.servers.drain(..) {
-            // A server that panicked has ended as well.
+            // An error means that the server panicked, so it has ended too.
             let _ = server.await;
         }
     }
@@ -152,7 +152,7 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // Control ends last: requests in progress still count on its view.
+        // The control tasks end last, since requests in progress still need a current view.
         self.stop.cancel();
     }
 }
@@ -178,28 +178,28 @@
     }
 }
 
-/// Listens on an address, and gives the one it became where the port was 0.
+/// Listens on an address and returns the bound address, whose port differs if the given one is 0.
 ///
 /// # Errors
 ///
-/// When the address cannot be listened to.
+/// If the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr)> {
     let listener = util::listen::tcp(address).await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// Serves until cancelled, then until every request in progress has ended.
+/// Serves connections until `closing` is cancelled, then waits for all requests in progress.
 pub fn serve(listener: TcpListener, app: Router, closing: CancellationToken) -> JoinHandle<()> {
     use axum::serve::ListenerExt;
     let listener = listener.tap_io(|stream| {
-        // Without it, small pieces of a stream wait for each other.
+        // Otherwise Nagle's algorithm delays the small chunks of streamed answers.
         let _ = stream.set_nodelay(true);
     });
     tokio::spawn(async move {
         let serving = axum::serve(listener, app).with_graceful_shutdown(closing.cancelled_owned());
         if let Err(error) = serving.await {
-            tracing::error!(%error, "a listener failed");
+            tracing::error!(%error, "listener failed");
         }
     })
 }
--- a/src/cinderspoke/entry/rpc.rs
+++ b/src/cinderspoke/entry/rpc.rs
@@ -1,4 +1,4 @@
-//! What an entry instance answers to agents and to other entry instances.
+//! The JSON-RPC server for agents and for other entry instances.
 
 use std::time::Duration;
 
@@ -16,17 +16,18 @@
 use super::control::Handle;
 use crate::util::rpc::{HEARTBEAT, MAX_MESSAGE, PATH, RELAY};
 
-/// How long an answer without news waits; shorter than an agent waits for it.
-const HOLD: Duration = Duration::from_millis(1500);
+/// How long the answer to a heartbeat is held while there are no updates; shorter than an agent's
+/// timeout for the call.
+const MAX_HOLD: Duration = Duration::from_millis(1500);
 
-/// The JSON-RPC code for "this process is stopping".
+/// The JSON-RPC error code of a process that is stopping.
 const STOPPING: i32 = -32_000;
 
-/// The routes for agents and other entry instances.
+/// Builds the router for agents and other entry instances.
 ///
 /// # Errors
 ///
-/// When a method is registered twice.
+/// If a method is registered twice.
 pub fn app(control: Handle) -> Result<Router> {
     let module = module(control)?;
     let limit = DefaultBodyLimit::max(MAX_MESSAGE);
@@ -56,13 +57,14 @@
     Ok(module)
 }
 
-/// Takes in a heartbeat, and answers once there is news for the agent.
+/// Records a heartbeat and answers as soon as there are updates for the agent (long polling).
 ///
-/// Without news the answer waits: the agent's next heartbeat replaces this one.
+/// Without updates the answer is held for at most [`MAX_HOLD`]. A later heartbeat of the agent
+/// replaces one whose answer is held.
 async fn on_heartbeat(control: &Handle, heartbeat: Heartbeat) -> HeartbeatReply {
     control.send(Event::Heartbeat(heartbeat.clone())).await;
     let mut published = control.published();
-    let news = async {
+    let reply = async {
         loop {
             let view = control.view();
             if view.has_updates_for(&heartbeat) {
@@ -71,6 +73,6 @@
             published.changed().await;
         }
     };
-    let news = timeout(HOLD, news).await;
-    news.unwrap_or_else(|_| control.view().reply(&heartbeat))
+    let reply = timeout(MAX_HOLD, reply).await;
+    reply.unwrap_or_else(|_| control.view().reply(&heartbeat))
 }
--- a/src/cinderspoke/entry/status.rs
+++ b/src/cinderspoke/entry/status.rs
@@ -1,4 +1,5 @@
-//! What runs, what moves and what is not in force yet.
+//! The status report for operators: running replicas, transfers in progress and instances that do
+//! not follow the current plan yet.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 
 use super::view::View;
 
-/// Sums up a view for operators.
+/// Builds the status report from a view.
 #[must_use]
 pub fn report(view: &View) -> StatusReport {
     StatusReport {
@@ -77,8 +78,8 @@
 }
 
 fn transfers(view: &View) -> Vec<TransferStatus> {
-    let moving = replicas(view).filter(|(_, replica)| replica.phase == Phase::Fetching);
-    let transfers = moving.filter_map(|(member, replica)| {
+    let fetching = replicas(view).filter(|(_, replica)| replica.phase == Phase::Fetching);
+    let transfers = fetching.filter_map(|(member, replica)| {
         Some(TransferStatus {
             instance: member.instance.clone(),
             zone: member.zone.clone(),
--- a/src/cinderspoke/entry/view.rs
+++ b/src/cinderspoke/entry/view.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads see of the control state: an immutable snapshot.
+//! An immutable snapshot of the control state, for the threads that serve requests.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use cinderspoke_types::digest::Digest;
 use cinderspoke_types::id::{Instance, Region, Service, Zone};
 
-/// Where an entry instance stands.
+/// The availability zone and region of an entry instance.
 #[derive(Debug, Clone)]
 pub struct Location {
     /// Its availability zone.
@@ -29,19 +29,20 @@
     pub region: Region,
 }
 
-/// The requests of this entry instance in progress on each instance.
+/// Counters of the requests in progress that this entry instance has sent to each instance.
 #[derive(Debug, Default)]
 pub struct InFlight {
     counters: HashMap<Instance, Arc<AtomicU32>>,
 }
 
 impl InFlight {
-    /// The counter of an instance; the same one each time.
+    /// Returns the counter of an instance; every call returns the same counter.
     fn counter(&mut self, instance: &Instance) -> Arc<AtomicU32> {
         Arc::clone(self.counters.entry(instance.clone()).or_default())
     }
 
-    /// Forgets instances that are gone and have no requests in progress.
+    /// Removes the counters of instances that are no longer members and have no requests in
+    /// progress.
     fn retain(&mut self, members: &[(Member, Health)]) {
         let known: BTreeSet<_> = members.iter().map(|(member, _)| &member.instance).collect();
         self.counters.retain(|instance, counter| {
@@ -50,27 +51,27 @@
     }
 }
 
-/// A replica that can answer a service's requests.
+/// A replica that can serve a service's requests.
 #[derive(Debug)]
 pub struct Target {
     /// Its instance.
     pub instance: Instance,
-    /// Where its agent listens.
+    /// The address of its agent.
     pub address: SocketAddr,
-    /// The weights with which it answers; `None` for a plain service.
+    /// The manifest of its weights; `None` for a plain service.
     pub manifest: Option<Digest>,
-    /// Whether those are the weights that the configuration names.
+    /// Whether these are the weights in the configuration.
     pub current: bool,
-    /// Requests of this entry instance in progress there.
+    /// The number of requests in progress that this entry instance has sent to it.
     pub in_flight: Arc<AtomicU32>,
     key: Key,
     distance: Distance,
     health: Health,
-    reported: u32,
+    reported_requests: u32,
 }
 
 impl Target {
-    /// What routing has to know of the replica now.
+    /// Returns the current properties of the replica for [`cinderspoke_core::route::pick`].
     #[must_use]
     pub fn to_candidate(&self) -> Candidate {
         Candidate {
@@ -79,36 +80,36 @@
             address: self.address,
             distance: self.distance,
             in_flight: self.in_flight.load(Ordering::Relaxed),
-            reported: self.reported,
+            reported: self.reported_requests,
         }
     }
 }
 
-/// A service, with the replicas that can answer.
+/// A service with the replicas that can serve its requests.
 #[derive(Debug)]
 pub struct Route {
-    /// What the configuration says of the service.
+    /// The service as declared in the configuration.
     pub service: operator::Service,
-    /// The replicas to be used: the best ones there are.
+    /// The preferred replicas, among which requests are distributed.
     pub targets: Vec<Target>,
 }
 
-/// The snapshot.
+/// A snapshot of the control state.
 #[derive(Debug, Default)]
 pub struct View {
     /// The configuration in force.
     pub active: Option<Arc<Active>>,
-    /// The newest plan of each zone.
+    /// The latest plan of each availability zone.
     pub plans: BTreeMap<Zone, Plan>,
-    /// The newest sum of each zone.
+    /// The latest list of members of each availability zone.
     pub members_by_zone: Vec<Members>,
-    /// All members.
+    /// All members with their health.
     pub members: Vec<(Member, Health)>,
-    /// Whether this instance writes the plans.
+    /// Whether this instance is the planner, which writes the plans.
     pub is_planner: bool,
     /// The services by name.
     pub routes: BTreeMap<Service, Route>,
-    // With a number that changes with the members.
+    // With a key that changes when the peers of the swarm change.
     swarms: BTreeMap<Digest, (Key, Swarm)>,
     orders: BTreeMap<Instance, Vec<Order>>,
 }
@@ -140,13 +141,13 @@
         }
     }
 
-    /// The generation in force; zero before the first.
+    /// Returns the generation in force; zero before the first one.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.active.as_ref().map(|active| active.root.generation).unwrap_or_default()
     }
 
-    /// Whether agents have to learn of something that another view did not tell.
+    /// Whether this view has plans or swarms for agents that differ from those of another view.
     #[must_use]
     pub fn has_updates_since(&self, other: &Self) -> bool {
         let fences =
@@ -156,7 +157,7 @@
         fences(self) != fences(other) || swarms(self) != swarms(other)
     }
 
-    /// Whether an answer to an agent's heartbeat would tell it something new.
+    /// Whether this view has a plan or a roster that the agent that sent a heartbeat does not have.
     #[must_use]
     pub fn has_updates_for(&self, heartbeat: &Heartbeat) -> bool {
         let member = &heartbeat.member;
@@ -165,7 +166,8 @@
         fence > member.fence || self.revision(orders) != heartbeat.roster
     }
 
-    /// The answer to an agent's heartbeat.
+    /// Returns the reply to an agent's heartbeat. It contains the roster only if the agent has a
+    /// different one.
     #[must_use]
     pub fn reply(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let member = &heartbeat.member;
@@ -186,7 +188,7 @@
         Roster { revision: self.revision(orders), origin_weight: self.origin_weight(), swarms }
     }
 
-    /// The swarms of an instance with these orders, each once.
+    /// Returns the swarms of an instance with these orders, without duplicates.
     fn swarms_of(&self, orders: &[Order]) -> impl Iterator<Item = &(Key, Swarm)> {
         let manifests: BTreeSet<_> =
             orders.iter().filter_map(|order| Some(order.weights.as_ref()?.manifest)).collect();
@@ -198,7 +200,7 @@
         weight.unwrap_or(DEFAULT_ORIGIN_WEIGHT)
     }
 
-    /// A number that changes with the content of a roster; never 0.
+    /// Returns the revision of a roster, which is a hash of its content; never 0.
     fn revision(&self, orders: &[Order]) -> u64 {
         let start = Key::of_number(self.origin_weight().to_bits());
         let key = self.swarms_of(orders).fold(start, |key, (swarm, _)| key.with(*swarm));
@@ -220,7 +222,8 @@
     orders
 }
 
-/// All planned replicas by the manifest of their weights.
+/// Returns the swarm of each manifest: the instances for which a replica with these weights is
+/// planned.
 fn swarms(
     plans: &BTreeMap<Zone, Plan>,
     members: &[(Member, Health)],
@@ -277,20 +280,23 @@
                 key: Key::of(member.instance.as_str()),
                 distance: distance(member, location),
                 health: *health,
-                reported: member.load.as_ref().map_or(0, |load| load.running + load.queued),
+                reported_requests: member
+                    .load
+                    .as_ref()
+                    .map_or(0, |load| load.running + load.queued),
             });
         }
     }
-    routes.values_mut().for_each(keep_best);
+    routes.values_mut().for_each(retain_preferred);
     routes
 }
 
-/// Keeps the replicas that are not suspected, wherever there are any, and drops
-/// those with former weights once enough others have the weights wanted.
+/// Retains the replicas that are alive, if there are any, and removes those with former weights
+/// once the minimum number of replicas have the current weights.
 ///
-/// Turning to the first replica that has switched would send it the requests
-/// of all the others.
-fn keep_best(route: &mut Route) {
+/// Without the minimum, the first replica with the current weights would receive the requests of
+/// all the others.
+fn retain_preferred(route: &mut Route) {
     let enough = min_live_replicas(&route.service) as usize;
     let targets = &mut route.targets;
     if targets.iter().any(|target| target.health == Health::Alive) {
