--- a/src/cinderspoke/util/clock.rs
+++ b/src/cinderspoke/util/clock.rs
@@ -1,8 +1,8 @@
-//! Time, as the decisions take it: the time since the process started.
+//! Clocks and deadlines that include the time for which the machine was suspended.
 //!
-//! A machine may be suspended. The system's steady clock, and so every timer, stands still
-//! meanwhile, while leases run out, versions grow old and callers leave. What is decided
-//! by ages and deadlines goes by a [`Clock`], which counts that time.
+//! The system's monotonic clock, and with it every timer, stops while the machine is suspended.
+//! Meanwhile leases expire, versions age and callers disconnect. Decisions by age or deadline
+//! therefore use a [`Clock`], which counts that time.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,37 +11,40 @@
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use tokio::time::{Instant, error, sleep, timeout};
 
-/// How long a timer is set for at most: so much later than it should a deadline may be
-/// noticed that has passed while the machine was suspended. In a second that a request
-/// waits it costs two wake-ups.
-const LOOK: Duration = Duration::from_millis(500);
+/// Upper bound on the duration of a timer, and so on the delay with which a wait notices that its
+/// deadline passed while the machine was suspended. It costs a waiting request two wake-ups per
+/// second.
+const MAX_TIMER: Duration = Duration::from_millis(500);
 
-/// A suspension that is shorter is none: clocks that are read one after the other differ.
+/// Shortest difference that counts as a suspension. The two clocks are read one after the other, so
+/// smaller differences occur without one.
 pub const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// A clock that starts at zero, never goes back, and goes on while the machine is suspended.
+/// A monotonic clock that starts at zero and continues while the machine is suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
     suspension: Suspension,
-    // How long the machine had been suspended then.
-    before: Duration,
+    // The total suspension at the start of this clock.
+    suspended_at_start: Duration,
 }
 
-/// What tells how long the machine has been suspended.
+/// The source of the total time for which the machine was suspended.
 #[derive(Debug, Clone, Copy)]
 enum Suspension {
-    /// The system's clocks.
-    Machine,
-    /// A number of milliseconds, in tests.
-    Told(&'static AtomicU64),
+    /// The difference between the system's clocks.
+    System,
+    /// A number of milliseconds that a test sets.
+    Simulated(&'static AtomicU64),
 }
 
 impl Suspension {
     fn total(self) -> Duration {
         match self {
-            Self::Machine => suspended(),
-            Self::Told(milliseconds) => Duration::from_millis(milliseconds.load(Ordering::SeqCst)),
+            Self::System => suspended(),
+            Self::Simulated(milliseconds) => {
+                Duration::from_millis(milliseconds.load(Ordering::SeqCst))
+            }
         }
     }
 }
@@ -50,51 +53,50 @@
     /// Starts a clock.
     #[must_use]
     pub fn start() -> Self {
-        Self::with(Suspension::Machine)
+        Self::with(Suspension::System)
     }
 
-    /// Starts a clock for which the machine is suspended for as many milliseconds as a
-    /// test says.
+    /// Starts a clock for tests, with the total suspension in `milliseconds`.
     #[must_use]
     pub fn start_suspended_by(milliseconds: &'static AtomicU64) -> Self {
-        Self::with(Suspension::Told(milliseconds))
+        Self::with(Suspension::Simulated(milliseconds))
     }
 
     fn with(suspension: Suspension) -> Self {
-        Self { started: Instant::now(), suspension, before: suspension.total() }
+        Self { started: Instant::now(), suspension, suspended_at_start: suspension.total() }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start, including suspensions.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed() + self.suspended()
     }
 
-    /// How much of that time the machine was suspended.
+    /// Returns for how much of the time since the start the machine was suspended.
     #[must_use]
     pub fn suspended(&self) -> Duration {
-        self.suspension.total().saturating_sub(self.before)
+        self.suspension.total().saturating_sub(self.suspended_at_start)
     }
 
-    /// Whether the machine was suspended since it had been for a time.
+    /// Whether the machine was suspended since [`Self::suspended`] returned `suspended`.
     #[must_use]
     pub fn was_suspended_since(&self, suspended: Duration) -> bool {
         self.suspended().saturating_sub(suspended) > MIN_SUSPENSION
     }
 
-    /// The moment so long from now.
+    /// Returns the deadline that is `time` from now.
     #[must_use]
     pub fn after(&self, time: Duration) -> Deadline {
         Deadline { clock: *self, at: self.now().saturating_add(time) }
     }
 
-    /// Waits for a time.
+    /// Waits for `time`, including suspensions.
     pub async fn sleep(self, time: Duration) {
         self.after(time).passed().await;
     }
 }
 
-/// A moment up to which something may go on.
+/// A point in time on a [`Clock`].
 #[derive(Debug, Clone, Copy)]
 pub struct Deadline {
     clock: Clock,
@@ -102,45 +104,45 @@
 }
 
 impl Deadline {
-    /// The time that is left.
+    /// Returns the time until the deadline; zero if it has passed.
     #[must_use]
     pub fn left(&self) -> Duration {
         self.at.saturating_sub(self.clock.now())
     }
 
-    /// Whether no time is left.
+    /// Whether the deadline has passed.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.left().is_zero()
     }
 
-    /// The earlier of two.
+    /// Returns the earlier of two deadlines of the same clock.
     #[must_use]
     pub fn min(self, other: Self) -> Self {
         if other.at < self.at { other } else { self }
     }
 
-    /// Waits until no time is left.
+    /// Waits until the deadline has passed.
     pub async fn passed(&self) {
         loop {
             let left = self.left();
             if left.is_zero() {
                 return;
             }
-            sleep(left.min(LOOK)).await;
+            sleep(left.min(MAX_TIMER)).await;
         }
     }
 
-    /// Waits for something until no time is left.
+    /// Awaits a future until the deadline.
     ///
     /// # Errors
     ///
-    /// When it does not come in time.
+    /// If the deadline passes before the future completes.
     pub async fn timeout<F: Future>(&self, awaited: F) -> Result<F::Output, error::Elapsed> {
         let mut awaited = std::pin::pin!(awaited);
         loop {
             let left = self.left();
-            match timeout(left.min(LOOK), awaited.as_mut()).await {
+            match timeout(left.min(MAX_TIMER), awaited.as_mut()).await {
                 Err(elapsed) if self.is_over() => return Err(elapsed),
                 Err(_) => {}
                 Ok(output) => return Ok(output),
@@ -149,17 +151,18 @@
     }
 }
 
-/// How long the machine has been suspended since it started.
+/// Returns for how long the machine was suspended since it booted: `CLOCK_BOOTTIME` minus
+/// `CLOCK_MONOTONIC`. The result never decreases.
 #[must_use]
 pub fn suspended() -> Duration {
-    static LONGEST: AtomicU64 = AtomicU64::new(0);
+    static MAX_DIFFERENCE: AtomicU64 = AtomicU64::new(0);
     let with_suspension = clock_gettime(ClockId::Boottime);
-    // Read last, so that a pause in between makes the difference too small; the greatest of
-    // all is right then, and never falls.
+    // Read last, so that a pause between the two reads makes the difference too small, never too
+    // large. The maximum of all differences is therefore correct, and it never decreases.
     let without = clock_gettime(ClockId::Monotonic);
     let difference = nanoseconds(with_suspension).saturating_sub(nanoseconds(without));
-    let longest = LONGEST.fetch_max(difference, Ordering::Relaxed).max(difference);
-    Duration::from_nanos(longest)
+    let maximum = MAX_DIFFERENCE.fetch_max(difference, Ordering::Relaxed).max(difference);
+    Duration::from_nanos(maximum)
 }
 
 fn nanoseconds(time: Timespec) -> u64 {
@@ -167,13 +170,14 @@
     seconds * 1_000_000_000 + u64::try_from(time.tv_nsec).unwrap_or_default()
 }
 
-/// The wall clock, in milliseconds of Unix time; for people, never for decisions.
+/// Returns the Unix time in milliseconds. The wall clock may be set back, so this is for display
+/// and records, not for decisions about time.
 #[must_use]
 pub fn unix_ms() -> u64 {
     u64::try_from(since_epoch().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// An incarnation for a process that starts now.
+/// Returns the incarnation of a process that starts now, which is the Unix time in microseconds.
 #[must_use]
 pub fn incarnation() -> Incarnation {
     Incarnation::new(u64::try_from(since_epoch().as_micros()).unwrap_or(u64::MAX))
--- a/src/cinderspoke/util/log.rs
+++ b/src/cinderspoke/util/log.rs
@@ -1,4 +1,4 @@
-//! Structured logs.
+//! Structured logging to standard error or standard output.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{EnvFilter, Registry, fmt, reload};
 
-/// What decides on events before they are written.
+/// The subscriber with the filter, below the layer that writes events.
 type Filtered = Layered<reload::Layer<EnvFilter, Registry>, Registry>;
 
-/// Which events are logged.
+/// A handle to change which events are logged.
 #[derive(Debug, Clone)]
 pub struct Filter(reload::Handle<EnvFilter, Registry>);
 
 impl Filter {
-    /// Has other events logged from now on.
+    /// Replaces the filter.
     ///
     /// # Errors
     ///
-    /// When the filter cannot be read; the last one stays.
+    /// If the filter cannot be parsed; the previous one then stays in force.
     pub fn set(&self, filter: &str) -> anyhow::Result<()> {
-        Ok(self.0.reload(read(filter)?)?)
+        Ok(self.0.reload(parse(filter)?)?)
     }
 }
 
-fn read(filter: &str) -> anyhow::Result<EnvFilter> {
+fn parse(filter: &str) -> anyhow::Result<EnvFilter> {
     EnvFilter::try_new(filter).with_context(|| format!("the log filter {filter:?}"))
 }
 
-/// Sends the process's log events to standard error, as its settings say.
+/// Writes the process's log events to standard error in the format of the settings.
 ///
 /// # Errors
 ///
-/// When the filter cannot be read, or logs already go somewhere.
+/// If the filter cannot be parsed, or a global subscriber is already installed.
 pub fn open(log: &Log) -> anyhow::Result<Filter> {
     let layer = fmt::layer().with_writer(std::io::stderr);
     let layer = match log.format {
@@ -45,31 +45,31 @@
     install(log, layer)
 }
 
-/// Sends what passes the filter to where it is written.
+/// Installs the filter and the layer as the global subscriber.
 fn install(log: &Log, layer: Box<dyn Layer<Filtered> + Send + Sync>) -> anyhow::Result<Filter> {
-    let (filter, handle) = reload::Layer::new(read(&log.filter)?);
+    let (filter, handle) = reload::Layer::new(parse(&log.filter)?);
     tracing_subscriber::registry().with(filter).with(layer).try_init()?;
     Ok(Filter(handle))
 }
 
-/// Lines that may wait to be written; more are dropped and counted.
-const WAITING_LINES: usize = 4096;
+/// Capacity of the buffer of lines to be written; further lines are dropped and counted.
+const BUFFERED_LINES: usize = 4096;
 
-/// Keeps lines going to standard output until it is dropped.
+/// Keeps the thread that writes log lines running. Dropping it writes the buffered lines.
 pub struct Guard {
     _worker: WorkerGuard,
 }
 
-/// Sends the process's log events to standard output as JSON lines, without
-/// ever waiting for whoever reads them.
+/// Writes the process's log events to standard output in the format of the settings, without
+/// blocking the process when the reader is slow.
 ///
 /// # Errors
 ///
-/// When the filter cannot be read, or logs already go somewhere.
+/// If the filter cannot be parsed, or a global subscriber is already installed.
 pub fn open_bounded(log: &Log) -> anyhow::Result<(Guard, Filter)> {
     let (writer, worker) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(BUFFERED_LINES)
         .finish(std::io::stdout());
     let dropped = writer.error_counter();
     let layer = fmt::layer().with_writer(writer);
@@ -82,17 +82,17 @@
     Ok((Guard { _worker: worker }, filter))
 }
 
-/// How often lines that were dropped are counted.
-const COUNT: Duration = Duration::from_secs(10);
+/// Interval at which the number of dropped lines is checked.
+const DROPPED_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Tells from time to time how many lines were dropped.
+/// Logs the total number of dropped lines whenever it has grown.
 async fn count_dropped(dropped: tracing_appender::non_blocking::ErrorCounter) {
-    let mut told = 0;
+    let mut logged = 0;
     loop {
-        tokio::time::sleep(COUNT).await;
+        tokio::time::sleep(DROPPED_CHECK_INTERVAL).await;
         let lines = dropped.dropped_lines();
-        if lines != told {
-            told = lines;
+        if lines != logged {
+            logged = lines;
             tracing::warn!(lines, "log lines were dropped");
         }
     }
--- a/src/cinderspoke/util/mod.rs
+++ b/src/cinderspoke/util/mod.rs
@@ -1,4 +1,4 @@
-//! Small things that the programs share.
+//! Utilities shared by the programs.
 
 pub mod clock;
 pub mod listen;
--- a/src/cinderspoke/util/pacer.rs
+++ b/src/cinderspoke/util/pacer.rs
@@ -1,4 +1,4 @@
-//! Pacing: keeping transfers below a rate.
+//! Pacing of transfers to a maximum rate.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,61 +8,62 @@
 use cinderspoke_types::size::Bytes;
 use tokio::time::Instant;
 
-/// How far ahead of the rate transfers may run.
+/// Burst size: how far ahead of the rate transfers may run, as the time that the burst takes at the
+/// rate.
 const BURST: Duration = Duration::from_millis(20);
 
-/// Spaces transfers out so that together they stay below a rate.
+/// Delays transfers so that together they stay below a rate.
 #[derive(Debug)]
 pub struct Pacer {
-    track: Mutex<Track>,
-    carried: AtomicU64,
+    state: Mutex<State>,
+    total: AtomicU64,
 }
 
 #[derive(Debug)]
-struct Track {
+struct State {
     rate: Option<ByteRate>,
-    // The time at which all that was granted has been carried.
+    // When the transfers that were granted so far end at the rate.
     free_at: Instant,
 }
 
 impl Pacer {
-    /// A pacer for a rate; without one nothing is ever held back.
+    /// Creates a pacer for a rate; without a rate it delays nothing.
     #[must_use]
     pub fn new(rate: Option<ByteRate>) -> Self {
-        let track = Track { rate, free_at: Instant::now() };
-        Self { track: Mutex::new(track), carried: AtomicU64::new(0) }
+        let state = State { rate, free_at: Instant::now() };
+        Self { state: Mutex::new(state), total: AtomicU64::new(0) }
     }
 
-    /// Goes on at another rate; what was granted already stays so.
+    /// Changes the rate. Transfers that were granted already are not affected.
     pub fn set_rate(&self, rate: Option<ByteRate>) {
         self.lock().rate = rate;
     }
 
-    fn lock(&self) -> MutexGuard<'_, Track> {
-        self.track.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until some bytes may be carried.
+    /// Waits until a number of bytes may be transferred.
     pub async fn acquire(&self, bytes: Bytes) {
-        self.carried.fetch_add(bytes.as_u64(), Ordering::Relaxed);
+        self.total.fetch_add(bytes.as_u64(), Ordering::Relaxed);
         if let Some(start) = self.reserve(bytes) {
             tokio::time::sleep_until(start).await;
         }
     }
 
-    /// How much was carried in all.
+    /// Returns the total number of bytes for which [`Self::acquire`] was called.
     #[must_use]
     pub fn total(&self) -> Bytes {
-        Bytes::new(self.carried.load(Ordering::Relaxed))
+        Bytes::new(self.total.load(Ordering::Relaxed))
     }
 
-    /// The time at which some bytes may be carried; none for at once.
+    /// Reserves a number of bytes and returns when they may be transferred; `None` without a rate.
     fn reserve(&self, bytes: Bytes) -> Option<Instant> {
-        let mut track = self.lock();
-        let time = track.rate?.time_for(bytes);
-        let start = track.free_at.max(Instant::now());
-        track.free_at = start + time;
-        // The wait ends when the bytes would have been carried, less the burst.
-        Some(track.free_at.checked_sub(BURST).unwrap_or(start))
+        let mut state = self.lock();
+        let time = state.rate?.time_for(bytes);
+        let start = state.free_at.max(Instant::now());
+        state.free_at = start + time;
+        // The wait ends when the transfer would end at the rate, less the burst.
+        Some(state.free_at.checked_sub(BURST).unwrap_or(start))
     }
 }
--- a/src/cinderspoke/util/program.rs
+++ b/src/cinderspoke/util/program.rs
@@ -1,4 +1,4 @@
-//! What the long-running programs have in common: threads, logs and exit codes.
+//! Startup of the long-running programs: command line, threads, signals, logs and exit codes.
 
 use std::num::NonZeroU32;
 use std::path::PathBuf;
@@ -16,13 +16,13 @@
 use super::settings::{self, Settings};
 use super::unix::{Signals, Stop};
 
-/// The exit code for settings that cannot be used.
+/// The exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
 
 /// The exit code for any other failure.
 pub const EXIT_FAILURE: u8 = 1;
 
-/// The command line of a program that reads one settings file.
+/// Builds the command line of a program that reads one settings file.
 #[must_use]
 pub fn cli(name: &'static str, about: &'static str) -> Command {
     let settings = Arg::new("settings")
@@ -36,7 +36,7 @@
     let adapter = Arg::new("adapter")
         .long("adapter")
         .value_name("ADAPTER")
-        .help("What the process runs on")
+        .help("Whether the process runs on its own or on a platform")
         .value_parser(["own", PLATFORM])
         .default_value("own");
     let help =
@@ -50,16 +50,17 @@
         .after_help(help)
 }
 
-/// The adapter to a platform that keeps configuration, versions and endpoints.
+/// The value of `--adapter` for a platform that stores the configuration, the versions and the list
+/// of endpoints.
 const PLATFORM: &str = "platform";
 
-/// Whether the process runs on such a platform.
+/// Whether the arguments select the platform adapter.
 #[must_use]
 pub fn runs_on_platform(matches: &ArgMatches) -> bool {
     matches.get_one::<String>("adapter").is_some_and(|adapter| adapter == PLATFORM)
 }
 
-/// What a program's main task is given.
+/// The settings and the stop signal, for a program's main task.
 pub struct Running<T> {
     settings: watch::Receiver<Arc<T>>,
     stop: Stop,
@@ -76,8 +77,7 @@
         Arc::clone(&self.settings.borrow())
     }
 
-    /// Waits until the process is asked to stop; settings that come into force
-    /// before, since the start, are applied.
+    /// Waits for the signal to stop, and calls `apply` with each change of the settings until then.
     pub async fn until_stop(&mut self, apply: impl Fn(&T)) {
         loop {
             tokio::select! {
@@ -89,13 +89,13 @@
     }
 }
 
-/// Runs a program's main task on such a platform, on the process's only thread;
-/// where the settings are only to be checked, it ends before.
+/// Runs a program's main task with the platform adapter, on a single-threaded runtime. With
+/// `--check` it only checks the settings.
 ///
 /// # Errors
 ///
-/// When the settings cannot be used, the system gives no runtime or logs already
-/// go somewhere, or as the task.
+/// If the settings are invalid, the runtime cannot be started, the signals cannot be received, or a
+/// global log subscriber is already installed; otherwise the error of the task.
 pub fn run_on_platform<T>(matches: &ArgMatches, main: impl FnOnce(Running<Node>) -> T) -> Result<()>
 where
     T: Future<Output = Result<()>>,
@@ -112,12 +112,13 @@
     })
 }
 
-/// Runs a program's main task with settings of the operators' own, on threads of
-/// its own for traffic; it is told where control tasks run.
+/// Runs a program's main task without the platform adapter, on the threads for traffic. The task
+/// gets the handle of a second runtime, with one thread, for control tasks. With `--check` it only
+/// checks the settings.
 ///
 /// # Errors
 ///
-/// As on a platform.
+/// As [`run_on_platform`].
 pub fn run_standalone<S: Settings, T>(
     matches: &ArgMatches,
     traffic_threads: impl FnOnce(&S) -> NonZeroU32,
@@ -126,32 +127,32 @@
 where
     T: Future<Output = Result<()>>,
 {
-    let control = threads("control", 1)?;
+    let control = start_runtime("control", 1)?;
     let _control = control.enter();
     let signals = Signals::open().context("listening to signals")?;
     let file: File<S> = File::open(settings_path(matches))?;
     if matches.get_flag("check") {
         return Ok(());
     }
-    let traffic = threads("traffic", traffic_threads(file.settings()).get() as usize)?;
+    let traffic = start_runtime("traffic", traffic_threads(file.settings()).get() as usize)?;
     let filter = log::open(file.settings().log())?;
     let running = Running::open(file, signals, filter);
     traffic.block_on(main(running, control.handle().clone()))
 }
 
-/// Starts threads of a program: one for control state, others for traffic.
-fn threads(name: &str, count: usize) -> Result<Runtime> {
+/// Starts a runtime with `count` threads of this name.
+fn start_runtime(name: &str, count: usize) -> Result<Runtime> {
     let runtime =
         Builder::new_multi_thread().worker_threads(count).thread_name(name).enable_all().build();
     runtime.with_context(|| format!("starting the {name} threads"))
 }
 
-/// The path of the settings file that was given.
+/// Returns the path of the settings file from the arguments.
 fn settings_path(matches: &ArgMatches) -> PathBuf {
     matches.get_one::<PathBuf>("settings").cloned().unwrap_or_default()
 }
 
-/// Turns a result into an exit code and reports an error on standard error.
+/// Converts a result into an exit code, and prints an error to standard error.
 #[must_use]
 pub fn exit(result: Result<()>) -> ExitCode {
     let Err(error) = result else { return ExitCode::SUCCESS };
--- a/src/cinderspoke/util/reload.rs
+++ b/src/cinderspoke/util/reload.rs
@@ -1,9 +1,9 @@
-//! Settings that change while a program runs.
+//! Reloading of the settings while a program runs.
 //!
-//! The file is read again when a signal says so, and when it reads otherwise than
-//! before, each time once it stands still. What can be used comes into force, as far as
-//! it takes effect while the program runs; of what cannot be used the last good settings
-//! are in force still.
+//! The settings file is reloaded on SIGHUP, and when a periodic check finds that its content has
+//! changed; in both cases only after two reads in a row returned the same content. Changes to the
+//! fields in [`Settings::RELOADABLE`] come into force at once, and changes to other fields at the
+//! next start. If the file is not valid, the previous settings stay in force.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,42 +20,42 @@
 use super::settings::{self, Settings};
 use super::unix::Reload;
 
-/// How often the file is looked at: a change that nobody tells of is in force
-/// within seconds, and a look reads one small file.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval at which the file is checked for changes. A change without a signal comes into force
+/// within seconds, and a check only reads one small file.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For how long a file has to read the same after a signal: longer than a small file
-/// takes to be written, and far shorter than until the next look.
-const STILL: Duration = Duration::from_millis(100);
+/// How long the file has to stay the same after a signal. Longer than a small file takes to be
+/// written, and much shorter than [`POLL_INTERVAL`].
+const SETTLE_DURATION: Duration = Duration::from_millis(100);
 
-/// What a file holds, or why it cannot be read.
+/// The content of a file, or why it cannot be read.
 type Text = Result<String, io::ErrorKind>;
 
-/// A settings file.
+/// A settings file with the settings in force.
 pub struct File<T> {
     path: PathBuf,
-    // What was last taken in, whether it could be used or not.
+    // The content that was last applied or rejected.
     text: Text,
-    // Invariant: differs from the settings at the start only in what takes effect
-    // while the program runs.
+    // Invariant: differs from the settings at the start only in reloadable fields.
     in_force: Arc<T>,
 }
 
-/// The names of the fields in which what was read is new.
+/// The names of the fields that a reload changed.
 #[derive(Debug)]
 struct Change {
-    /// These took effect.
+    /// The fields whose change is in force.
     changed: String,
-    /// These differ from what the program started with, and will take effect then.
+    /// The fields that differ from the settings at the start, and whose change comes into force at
+    /// the next start.
     at_next_start: String,
 }
 
 impl<T: Settings> File<T> {
-    /// Reads a settings file.
+    /// Reads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, or with all findings in it.
+    /// If the file cannot be read, or with all findings if it is not valid.
     pub fn open(path: PathBuf) -> Result<Self> {
         let text = std::fs::read_to_string(&path);
         let text = text.with_context(|| format!("reading {}", path.display()))?;
@@ -63,13 +63,13 @@
         Ok(Self { path, text: Ok(text), in_force })
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     #[must_use]
     pub fn settings(&self) -> &Arc<T> {
         &self.in_force
     }
 
-    /// Reads the file again whenever it changes, and publishes what is in force.
+    /// Starts a task that reloads the file and publishes the settings in force.
     pub fn spawn(self, requests: Reload, filter: Filter) -> watch::Receiver<Arc<T>> {
         let (sender, receiver) = watch::channel(Arc::clone(&self.in_force));
         tokio::spawn(self.watch(requests, filter, sender));
@@ -77,35 +77,36 @@
     }
 
     async fn watch(mut self, mut requests: Reload, filter: Filter, sender: watch::Sender<Arc<T>>) {
-        let mut looks = interval(LOOK);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut polls = interval(POLL_INTERVAL);
+        polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut seen = self.text.clone();
         loop {
             tokio::select! {
                 biased;
                 () = requests.requested() => {
-                    let text = self.settled().await;
-                    self.take(text, &filter, &sender);
+                    let text = self.read_settled().await;
+                    self.reload(text, &filter, &sender);
                 }
-                _ = looks.tick() => {
+                _ = polls.tick() => {
                     let text = self.read();
-                    // Half a file may read like a whole one: it has to stand still first.
-                    let still = text == seen;
+                    // A partly written file may be valid, so the content has to stay the same
+                    // first.
+                    let settled = text == seen;
                     seen = text.clone();
-                    if still && text != self.text {
-                        self.take(text, &filter, &sender);
+                    if settled && text != self.text {
+                        self.reload(text, &filter, &sender);
                     }
                 }
             }
         }
     }
 
-    /// What the file holds once it stands still: who signals may still be writing, and
-    /// half a file may read like a whole one.
-    async fn settled(&self) -> Text {
+    /// Reads the file until its content stays the same. The process that sent the signal may still
+    /// be writing, and a partly written file may be valid.
+    async fn read_settled(&self) -> Text {
         let mut text = self.read();
         loop {
-            sleep(STILL).await;
+            sleep(SETTLE_DURATION).await;
             let again = self.read();
             if again == text {
                 return again;
@@ -118,8 +119,9 @@
         std::fs::read_to_string(&self.path).map_err(|error| error.kind())
     }
 
-    /// Takes in what the file holds, and says what came of it.
-    fn take(&mut self, text: Text, filter: &Filter, sender: &watch::Sender<Arc<T>>) {
+    /// Applies the content of the file, publishes the settings if they changed, and logs the
+    /// result.
+    fn reload(&mut self, text: Text, filter: &Filter, sender: &watch::Sender<Arc<T>>) {
         self.text = text;
         match self.apply(filter) {
             Ok(Change { changed, at_next_start }) => {
@@ -131,21 +133,26 @@
             Err(error) => {
                 let findings = error.downcast_ref::<settings::Error>();
                 let findings = findings.map_or_else(|| format!("{error:#}"), |it| it.findings());
-                tracing::warn!(findings, "settings cannot be used, the last ones stay in force");
+                tracing::warn!(
+                    findings,
+                    "settings cannot be used, the last ones stay in force"
+                );
             }
         }
     }
 
-    /// Brings what the file holds into force.
+    /// Parses the content and puts the changes to reloadable fields in force.
     fn apply(&mut self, filter: &Filter) -> Result<Change> {
         let reading = || format!("reading {}", self.path.display());
         let text = self.text.as_ref().map_err(|kind| io::Error::from(*kind));
         let read: T = settings::check(&self.path, text.with_context(reading)?)?;
         let (before, read) = (serde_json::to_value(&*self.in_force)?, serde_json::to_value(read)?);
         let mut after = before.clone();
-        T::RELOADABLE.iter().for_each(|field| put(&mut after, &read, field));
-        let change =
-            Change { changed: differing(&before, &after), at_next_start: differing(&after, &read) };
+        T::RELOADABLE.iter().for_each(|field| copy_field(&mut after, &read, field));
+        let change = Change {
+            changed: differing_fields(&before, &after),
+            at_next_start: differing_fields(&after, &read),
+        };
         let in_force: T = serde_json::from_value(after)?;
         filter.set(&in_force.log().filter)?;
         self.in_force = Arc::new(in_force);
@@ -153,10 +160,10 @@
     }
 }
 
-/// Puts a field of some settings into others, or takes it away as they have none.
-fn put(into: &mut Value, from: &Value, field: &str) {
+/// Copies a field from some settings to others, and removes it if it is absent.
+fn copy_field(into: &mut Value, from: &Value, field: &str) {
     if let Some((table, field)) = field.split_once('.') {
-        return put(&mut into[table], &from[table], field);
+        return copy_field(&mut into[table], &from[table], field);
     }
     match (from.get(field), into.as_object_mut()) {
         (Some(value), _) => into[field] = value.clone(),
@@ -165,8 +172,8 @@
     }
 }
 
-/// The names of the fields that differ.
-fn differing(one: &Value, other: &Value) -> String {
+/// Returns the names of the fields that differ, separated by commas.
+fn differing_fields(one: &Value, other: &Value) -> String {
     let (one, other) = (fields(one), fields(other));
     let mut names: Vec<_> = one.keys().chain(other.keys()).collect();
     names.sort();
@@ -175,7 +182,7 @@
     names.into_iter().map(String::as_str).collect::<Vec<_>>().join(", ")
 }
 
-/// The fields of settings and of the tables in them, by name.
+/// Returns the fields of settings by name; those of a table as `table.field`.
 fn fields(settings: &Value) -> BTreeMap<String, &Value> {
     let mut fields = BTreeMap::new();
     for (name, value) in settings.as_object().into_iter().flatten() {
--- a/src/cinderspoke/util/rpc.rs
+++ b/src/cinderspoke/util/rpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC between the system's own processes, carried over HTTP.
+//! JSON-RPC over HTTP between the system's own processes.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -15,22 +15,22 @@
 
 use crate::util::http::{Call, Client as HttpClient};
 
-/// The method by which agents report.
+/// The method by which agents send heartbeats.
 pub const HEARTBEAT: &str = "heartbeat";
 
-/// The method by which entry instances tell each other what they know.
+/// The method by which entry instances query each other's state.
 pub const RELAY: &str = "relay";
 
-/// Where calls are answered.
+/// The HTTP path of the RPC server.
 pub const PATH: &str = "/rpc";
 
-/// How long a call may take.
+/// Timeout for a call.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The largest message, in bytes.
+/// Upper bound on the size of a message, in bytes.
 pub const MAX_MESSAGE: usize = 64 << 20;
 
-/// An entry instance, as other processes call it.
+/// A client for the RPC server of an entry instance.
 #[derive(Debug)]
 pub struct Client {
     client: HttpClient,
@@ -38,26 +38,26 @@
 }
 
 impl Client {
-    /// The entry instance whose control address is given.
+    /// Creates a client for the entry instance with this control address.
     #[must_use]
     pub fn new(client: HttpClient, address: SocketAddr) -> Self {
         Self { client, address }
     }
 
-    /// Reports to the entry instance and learns this instance's orders.
+    /// Sends a heartbeat and returns the reply, which contains the orders for this instance.
     ///
     /// # Errors
     ///
-    /// When no answer came.
+    /// If the call fails or its answer is an error.
     pub async fn heartbeat(&self, heartbeat: &Heartbeat) -> Result<HeartbeatReply> {
         self.call(HEARTBEAT, heartbeat).await
     }
 
-    /// Learns what the entry instance knows.
+    /// Queries the state of the entry instance.
     ///
     /// # Errors
     ///
-    /// When no answer came.
+    /// If the call fails or its answer is an error.
     pub async fn relay(&self, query: &RelayQuery) -> Result<RelayState> {
         self.call(RELAY, query).await
     }
@@ -72,7 +72,7 @@
         let call = Call::new(Method::POST, self.address, PATH).json(&request);
         let answer = self.client.fetch(call.limit(MAX_MESSAGE).timeout(TIMEOUT)).await?;
         let response: Response<'_, R> =
-            serde_json::from_slice(&answer).context("reading an answer")?;
+            serde_json::from_slice(&answer).context("parsing an answer")?;
         match response.payload {
             ResponsePayload::Success(result) => Ok(Cow::into_owned(result)),
             ResponsePayload::Error(error) => Err(anyhow!("{error}")),
--- a/src/cinderspoke/util/settings.rs
+++ b/src/cinderspoke/util/settings.rs
@@ -1,4 +1,4 @@
-//! Reading a program's settings, with every finding at once.
+//! Parsing of a program's settings. All findings are reported at once.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,14 +13,14 @@
 
 /// The settings of a program.
 pub trait Settings: DeserializeOwned + Serialize + Send + Sync + 'static {
-    /// The fields, those of tables as `table.field`, that take effect while the
-    /// program runs. All others do at its next start.
+    /// The fields whose changes come into force while the program runs; fields of tables are
+    /// written as `table.field`. Changes to other fields come into force at the next start.
     const RELOADABLE: &'static [&'static str];
 
-    /// Their schema.
+    /// Returns the JSON schema of the settings.
     fn schema() -> Value;
 
-    /// What is logged and how.
+    /// Returns the settings of the log.
     fn log(&self) -> &Log;
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Settings with something wrong in them.
+/// Settings with findings.
 #[derive(Debug, displaydoc::Display)]
 #[displaydoc("the settings cannot be used:\n{report}")]
 pub struct Error {
@@ -71,24 +71,24 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// All findings in one line.
+    /// Returns all findings in one line.
     #[must_use]
     pub fn findings(&self) -> String {
         self.report.replace('\n', "; ")
     }
 }
 
-/// Checks the text of a settings file.
+/// Parses and checks the text of a settings file.
 ///
 /// # Errors
 ///
-/// All findings in it.
+/// If the text is not valid, with all findings in it.
 pub fn check<T: Settings>(path: &Path, text: &str) -> Result<T, Error> {
     let mut document = Document::read(&path.display().to_string(), text);
     document.check(&T::schema()).map_err(|findings| Error { report: report(&findings) })
 }
 
-/// Findings as lines for people to read.
+/// Formats findings for people, one line each.
 #[must_use]
 pub fn report(findings: &[Finding]) -> String {
     let lines = findings.iter().map(|finding| {
@@ -98,13 +98,14 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Where a process on a platform is reached by the system's other processes.
+/// Returns the address at which the system's other processes reach a process on a platform.
 #[must_use]
 pub fn internal_address(settings: &Node) -> SocketAddr {
     SocketAddr::new(*settings.address, settings.ports.first.get())
 }
 
-/// Where the processes on the seeds' instances are reached by the system's other processes.
+/// Returns the addresses at which the system's other processes reach the processes on the seeds'
+/// instances.
 #[must_use]
 pub fn seed_addresses(settings: &Node) -> Vec<SocketAddr> {
     let port = settings.ports.first.get();
--- a/src/cinderspoke/util/signal.rs
+++ b/src/cinderspoke/util/signal.rs
@@ -1,7 +1,7 @@
-//! Telling waiting tasks of changes, in the order in which they wait.
+//! Notification of waiting tasks about changes, in the order in which they began to wait.
 //!
-//! A watch channel wakes its receivers in a random order, so that experiments
-//! on a paused clock would differ from run to run.
+//! A watch channel of Tokio wakes its receivers in random order, which would make simulations with
+//! a paused clock differ from run to run.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,17 +10,17 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    raised: AtomicU64,
+    changes: AtomicU64,
     notify: Notify,
 }
 
-/// Tells of changes.
+/// Notifies receivers of changes.
 #[derive(Debug, Clone, Default)]
 pub struct Signal {
     shared: Arc<Shared>,
 }
 
-/// Waits for changes after those that it has seen.
+/// Waits for changes that it has not seen yet.
 #[derive(Debug)]
 pub struct Receiver {
     shared: Arc<Shared>,
@@ -28,19 +28,19 @@
 }
 
 impl Signal {
-    /// Tells of a change.
+    /// Notifies all receivers of a change.
     pub fn raise(&self) {
-        self.shared.raised.fetch_add(1, Ordering::Release);
+        self.shared.changes.fetch_add(1, Ordering::Release);
         self.shared.notify.notify_waiters();
     }
 
-    /// How many changes were told.
+    /// Returns the number of changes so far.
     #[must_use]
     pub fn raised(&self) -> u64 {
-        self.shared.raised.load(Ordering::Acquire)
+        self.shared.changes.load(Ordering::Acquire)
     }
 
-    /// A receiver that has seen all changes so far.
+    /// Returns a receiver that has seen all changes so far.
     #[must_use]
     pub fn subscribe(&self) -> Receiver {
         Receiver { shared: Arc::clone(&self.shared), seen: self.raised() }
@@ -48,16 +48,17 @@
 }
 
 impl Receiver {
-    /// Waits until there is a change that it has not seen, and takes it as seen.
+    /// Waits until there is a change that this receiver has not seen, and marks all changes as
+    /// seen.
     pub async fn changed(&mut self) {
         loop {
             let notified = self.shared.notify.notified();
             tokio::pin!(notified);
-            // Listening starts before the look, so that no change is missed.
+            // Registers before the check below, so that no change is missed.
             notified.as_mut().enable();
-            let raised = self.shared.raised.load(Ordering::Acquire);
-            if raised != self.seen {
-                self.seen = raised;
+            let changes = self.shared.changes.load(Ordering::Acquire);
+            if changes != self.seen {
+                self.seen = changes;
                 return;
             }
             notified.await;
--- a/src/cinderspoke/util/stop.rs
+++ b/src/cinderspoke/util/stop.rs
@@ -1,4 +1,4 @@
-//! Stopping in order.
+//! Cancellation of tasks when the process stops.
 
 use tokio_util::sync::CancellationToken;
 
--- a/src/cinderspoke/util/unix.rs
+++ b/src/cinderspoke/util/unix.rs
@@ -1,25 +1,25 @@
-//! Signals that the system sends the process.
+//! Unix signals that the process handles.
 //!
-//! What nobody listens to ends the process, and all its requests with it. So all
-//! signals are listened to before settings are read and any request can come; one
-//! that comes before it is asked for is kept until then.
+//! A signal without a handler ends the process and all its requests. The handlers are therefore
+//! installed before the settings are read and any request can arrive. A signal that arrives before
+//! a task waits for it stays pending.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that the process acts on.
+/// The signals that the process handles.
 #[derive(Debug)]
 pub struct Signals {
-    /// The settings file has changed.
+    /// Requests a reload of the settings.
     pub reload: Reload,
-    /// The process is to stop.
+    /// Requests a shutdown.
     pub stop: Stop,
 }
 
-/// SIGHUP.
+/// SIGHUP: reload the settings.
 #[derive(Debug)]
 pub struct Reload(Signal);
 
-/// SIGTERM and SIGINT.
+/// SIGTERM and SIGINT: shut down.
 #[derive(Debug)]
 pub struct Stop {
     terminate: Signal,
@@ -27,11 +27,11 @@
 }
 
 impl Signals {
-    /// Listens from now on; within a runtime.
+    /// Installs the handlers. Must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// When the signals cannot be listened to.
+    /// If a handler cannot be installed.
     pub fn open() -> std::io::Result<Self> {
         let reload = Reload(signal(SignalKind::hangup())?);
         let terminate = signal(SignalKind::terminate())?;
@@ -41,15 +41,15 @@
 }
 
 impl Reload {
-    /// Waits until the process is told that its settings have changed.
+    /// Waits for SIGHUP.
     pub async fn requested(&mut self) {
-        // There is always a next signal.
+        // The stream of signals never ends.
         let _ = self.0.recv().await;
     }
 }
 
 impl Stop {
-    /// Waits until the process is asked to stop.
+    /// Waits for SIGTERM or SIGINT.
     pub async fn requested(&mut self) {
         tokio::select! {
             biased;
