--- a/src/bin/agent/main.rs
+++ b/src/bin/agent/main.rs
@@ -1,4 +1,4 @@
-//! `cinderspoke-agent`: the program beside each endpoint.
+//! `cinderspoke-agent`: the program on the instance of each endpoint.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -19,7 +19,8 @@
 use cinderspoke_schema::settings::{Agent as Settings, EndpointKind};
 
 fn main() -> ExitCode {
-    let about = "Collects and gives weights, gives its endpoint orders and passes requests on";
+    let about =
+        "Exchanges weights with peers, sends orders to its endpoint and forwards requests to it";
     exit(run(&cli("cinderspoke-agent", about).get_matches()))
 }
 
@@ -27,12 +28,13 @@
     if runs_on_platform(matches) { on_platform(matches) } else { standalone(matches) }
 }
 
-/// Runs beside a model engine of a platform that names the versions.
+/// Runs next to a model engine, on a platform that sets the version to serve.
 fn on_platform(matches: &clap::ArgMatches) -> Result<()> {
     run_on_platform(matches, async |mut running| {
         let settings = running.settings();
         let client = Client::new();
-        let beside = settings.beside.as_ref().context("the settings name no engine beside")?;
+        let beside =
+            settings.beside.as_ref().context("the settings contain no engine (`beside`)")?;
         let to_origin = client.clone();
         let parts = stager::Parts {
             engine: Arc::new(LocalEngine::new(client.clone(), beside.address)),
@@ -49,7 +51,7 @@
     })
 }
 
-/// Runs with orders from entry instances.
+/// Runs with orders from entry instances, without the platform adapter.
 fn standalone(matches: &clap::ArgMatches) -> Result<()> {
     let threads = |settings: &Settings| settings.traffic_threads;
     run_standalone(matches, threads, async |mut running: Running<Settings>, control| {
--- a/src/bin/cinderspoke/cli.rs
+++ b/src/bin/cinderspoke/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as a whole, and what all commands share.
+//! The command line, with the arguments that all commands share.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,19 +13,19 @@
 
 use crate::commands;
 
-/// Where the administration API is asked when nothing else is said.
+/// The default address of the administration API.
 const DEFAULT_ADMIN: &str = "127.0.0.1:7300";
 
-/// The environment variable that names the administration API.
+/// The environment variable with the address of the administration API.
 const ADMIN_VARIABLE: &str = "CINDERSPOKE_ADMIN";
 
-/// What every command may use.
+/// What every command has access to.
 pub(crate) struct Context {
     pub(crate) admin: Admin,
     pub(crate) console: Console,
 }
 
-/// The whole command line.
+/// Builds the command line.
 pub(crate) fn cli() -> Command {
     let json = Arg::new("json")
         .long("json")
@@ -37,7 +37,7 @@
         .global(true)
         .value_name("IP:PORT")
         .value_parser(value_parser!(SocketAddr))
-        .help(format!("The administration API; else ${ADMIN_VARIABLE}, else {DEFAULT_ADMIN}"));
+        .help(format!("The address of the administration API; defaults to ${ADMIN_VARIABLE}, then {DEFAULT_ADMIN}"));
     Command::new("cinderspoke")
         .about("Declares services, models and replicas, and shows how they run")
         .version(env!("CARGO_PKG_VERSION"))
@@ -49,7 +49,7 @@
         .after_help(EXIT_CODES)
 }
 
-/// The argument that names a set of files.
+/// The argument for the directory of a set of files.
 pub(crate) fn directory() -> Arg {
     Arg::new("directory")
         .value_name("DIRECTORY")
@@ -58,12 +58,12 @@
         .help("The directory with the set of .toml files")
 }
 
-/// The directory that was given.
+/// Returns the value of the [`directory`] argument.
 pub(crate) fn directory_of(matches: &ArgMatches) -> PathBuf {
     matches.get_one::<PathBuf>("directory").cloned().unwrap_or_default()
 }
 
-/// Parses the arguments, runs the command and gives the exit code.
+/// Parses the arguments, runs the command and returns the exit code.
 pub(crate) fn main() -> ExitCode {
     let matches = cli().get_matches();
     let console = Console { json: matches.get_flag("json") };
--- a/src/bin/cinderspoke/commands/audit.rs
+++ b/src/bin/cinderspoke/commands/audit.rs
@@ -6,7 +6,7 @@
 
 use crate::cli::Context;
 
-/// How many records are shown unless the operator asks for more.
+/// The default number of records.
 const DEFAULT_MOST: &str = "20";
 
 pub(crate) fn cli() -> Command {
--- a/src/bin/cinderspoke/commands/check.rs
+++ b/src/bin/cinderspoke/commands/check.rs
@@ -8,7 +8,7 @@
 
 pub(crate) fn cli() -> Command {
     Command::new("check")
-        .about("Check a set of files, and show every finding with its place")
+        .about("Check a set of files, and show every finding with its position")
         .arg(directory())
         .after_help("Example:\n  cinderspoke check examples/adjei-bross")
 }
--- a/src/bin/cinderspoke/commands/completions.rs
+++ b/src/bin/cinderspoke/commands/completions.rs
@@ -11,7 +11,7 @@
     let shell =
         Arg::new("shell").required(true).value_parser(value_parser!(Shell)).help("The shell");
     Command::new("completions")
-        .about("Write a shell's completions")
+        .about("Generate shell completions")
         .arg(shell)
         .after_help("Example:\n  cinderspoke completions bash > cinderspoke.bash")
 }
--- a/src/bin/cinderspoke/commands/mod.rs
+++ b/src/bin/cinderspoke/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a file each.
+//! The commands, one module each.
 
 mod apply;
 mod audit;
@@ -15,17 +15,17 @@
 
 use crate::cli::Context;
 
-/// What a command gives in the end.
+/// The future of a running command.
 type Running = Pin<Box<dyn Future<Output = Result<Report>>>>;
 
-/// A command: its name, its arguments and what it does.
+/// A command: its name, its arguments and the function that runs it.
 pub(crate) struct Entry {
     pub(crate) name: &'static str,
     pub(crate) cli: fn() -> Command,
     pub(crate) exec: fn(Context, ArgMatches) -> Running,
 }
 
-/// All commands, ordered as the help shows them.
+/// Returns all commands, in the order in which the help lists them.
 pub(crate) fn all() -> Vec<Entry> {
     vec![
         Entry {
--- a/src/bin/cinderspoke/commands/status.rs
+++ b/src/bin/cinderspoke/commands/status.rs
@@ -8,7 +8,9 @@
 
 pub(crate) fn cli() -> Command {
     Command::new("status")
-        .about("Show what runs, what moves and what is not in force yet")
+        .about(
+            "Show running replicas, transfers in progress and instances that lag behind the plan",
+        )
         .after_help("Example:\n  cinderspoke status --json")
 }
 
--- a/src/bin/entry/main.rs
+++ b/src/bin/entry/main.rs
@@ -17,7 +17,8 @@
 use cinderspoke_schema::settings::Entry as Settings;
 
 fn main() -> ExitCode {
-    let about = "Answers callers and operators, and relays configuration in its availability zone";
+    let about =
+        "Serves callers and operators, and relays the configuration in its availability zone";
     exit(run(&cli("cinderspoke-entry", about).get_matches()))
 }
 
@@ -25,7 +26,8 @@
     if runs_on_platform(matches) { on_platform(matches) } else { standalone(matches) }
 }
 
-/// Runs behind a platform that keeps configuration, versions and endpoints.
+/// Runs a gateway, on a platform that stores the configuration, the versions and the list of
+/// endpoints.
 fn on_platform(matches: &clap::ArgMatches) -> Result<()> {
     run_on_platform(matches, async |mut running| {
         let settings = running.settings();
@@ -44,7 +46,7 @@
     })
 }
 
-/// Runs with a configuration of its own behind the object API.
+/// Runs an entry instance, with a configuration that is stored in the platform's object API.
 fn standalone(matches: &clap::ArgMatches) -> Result<()> {
     let threads = |settings: &Settings| settings.traffic_threads;
     run_standalone(matches, threads, async |mut running: Running<Settings>, control| {
--- a/src/cinderspoke/endpoint/http.rs
+++ b/src/cinderspoke/endpoint/http.rs
@@ -1,9 +1,9 @@
-//! Endpoints over HTTP, as the stand-ins speak it.
+//! Endpoints over HTTP, with the calls that the stand-in endpoints implement.
 //!
 //! | call | request | answer |
 //! |---|---|---|
 //! | inventory | `GET /v1/engine` | [`Inventory`] |
-//! | load | `PUT /v1/engine/weights/DIGEST?fence=F&model=M&version=V&size=N`, the bytes | 204, or 412 when fenced |
+//! | load | `PUT /v1/engine/weights/DIGEST?fence=F&model=M&version=V&size=N`, the bytes | 204, or 412 if the fence is too old |
 //! | unload | `DELETE /v1/engine/weights/DIGEST?fence=F` | 204, or 412 |
 //! | change role | `PUT /v1/engine/role?fence=F` with a [`Role`] | 204, or 412 |
 //! | generate | `POST /v1/engine/generate/DIGEST` with a [`Generate`] | a line of JSON for each [`Piece`] |
@@ -32,13 +32,13 @@
 };
 use crate::util::http::{self as client, Call, Client, uri};
 
-/// How long loading may take.
+/// Timeout for loading weights.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// The longest line that a piece may take, in bytes.
-const MAX_LINE: usize = 64 << 10;
+/// Upper bound on the length of a line with one [`Piece`], in bytes.
+const MAX_LINE_LENGTH: usize = 64 << 10;
 
-/// An endpoint at an address.
+/// A client for the endpoint at an address.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     client: Client,
@@ -46,7 +46,7 @@
 }
 
 impl Endpoint {
-    /// The endpoint at an address.
+    /// Creates a client for the endpoint at an address.
     #[must_use]
     pub fn new(client: Client, address: SocketAddr) -> Self {
         Self { client, address }
@@ -61,6 +61,7 @@
     }
 }
 
+/// Determines whether a call that failed has not run, may have run, or was fenced.
 fn classify(error: client::Error) -> Error {
     match (&error, error.status()) {
         (_, Some(StatusCode::PRECONDITION_FAILED)) => Error::Fenced,
@@ -160,13 +161,13 @@
     }
 }
 
-/// Bytes that have come, less the lines that were taken out.
+/// Splits the body of an answer into lines.
 struct Lines {
     body: Body,
     buffer: BytesMut,
 }
 
-/// Reads the pieces of an answer, one for each line.
+/// Parses each line of an answer as a piece.
 fn pieces(body: Body) -> impl Stream<Item = Result<Piece, Error>> {
     let lines = Lines { body, buffer: BytesMut::new() };
     stream::unfold(Some(lines), |lines| async {
@@ -180,6 +181,7 @@
 }
 
 impl Lines {
+    /// Reads the next line; `None` at the end of the body.
     async fn next(&mut self) -> Option<Result<Piece, Error>> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -187,7 +189,7 @@
                 let piece = serde_json::from_slice(&line);
                 return Some(piece.map_err(|error| Error::Unknown(error.to_string())));
             }
-            if self.buffer.len() > MAX_LINE {
+            if self.buffer.len() > MAX_LINE_LENGTH {
                 return Some(Err(Error::Unknown("a line of the answer is too long".into())));
             }
             match self.body.frame().await? {
--- a/src/cinderspoke/endpoint/mod.rs
+++ b/src/cinderspoke/endpoint/mod.rs
@@ -1,6 +1,6 @@
-//! Endpoints: model engines and plain services, each behind one narrow trait.
+//! Endpoints: model engines and plain services, with one trait for each.
 //!
-//! Only the agent beside an endpoint calls these.
+//! Only the agent on the same instance calls an endpoint.
 
 pub mod http;
 
@@ -17,7 +17,7 @@
 use futures::stream::BoxStream;
 use serde::{Deserialize, Serialize};
 
-/// Why an endpoint did not do what it was asked.
+/// Why a call to an endpoint failed.
 #[derive(Debug, Display)]
 pub enum Error {
     /// it was not reached or refused to start, so nothing ran: {0}
@@ -41,29 +41,29 @@
         /// Its text.
         text: String,
     },
-    /// The answer is whole.
+    /// The end of a complete answer.
     Done {
-        /// How many tokens it has in all.
+        /// The total number of tokens.
         tokens: u64,
     },
 }
 
-/// What an engine does with a request's prefix and answer.
+/// The phases of a request that an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Both reads prompts and generates.
+    /// Prefill and decode.
     Whole,
-    /// Only reads prompts.
+    /// Prefill only: processes prompts.
     Prefill,
-    /// Only generates.
+    /// Decode only: generates tokens.
     Decode,
 }
 
-/// What happened in an engine's prefix cache; told late and with gaps.
+/// A change in an engine's prefix cache. Events arrive late and may be lost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows with each event; a gap means that events were lost.
+    /// Incremented with each event; a gap means that events were lost.
     pub sequence: u64,
     /// The prefix.
     pub prefix: String,
@@ -71,56 +71,60 @@
     pub cached: bool,
 }
 
-/// What an engine holds.
+/// The weights that an engine holds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Inventory {
     /// The highest fence it has seen.
     pub fence: Fence,
-    /// The weights that are loaded whole, by manifest.
+    /// The weights that are completely loaded, by manifest.
     pub loaded: BTreeMap<Digest, Weights>,
 }
 
-/// Weights to be loaded, with the fence of the order.
+/// An order to load weights.
 pub struct LoadOrder {
-    /// What is loaded.
+    /// The weights to load.
     pub weights: Weights,
-    /// An engine that checks fences refuses a lower one than it has seen.
+    /// The fence of the order. An engine that checks fences refuses one that is lower than the
+    /// highest it has seen.
     pub fence: Fence,
-    /// The bytes, in order.
+    /// The bytes of the weights, in order.
     pub bytes: BoxStream<'static, Result<Bytes, std::io::Error>>,
 }
 
-/// The pieces of an answer; an error or an end without [`Piece::Done`] means that it broke off.
+/// The pieces of an answer. It is incomplete if the stream yields an error or ends without
+/// [`Piece::Done`].
 pub type Pieces = BoxStream<'static, Result<Piece, Error>>;
 
 /// A model engine.
 #[async_trait]
 pub trait ModelEngine: Send + Sync {
-    /// What it holds.
+    /// Returns the weights that the engine holds.
     async fn inventory(&self) -> Result<Inventory, Error>;
 
-    /// Loads weights beside those it holds; they count only once all bytes came.
+    /// Loads weights in addition to those that the engine holds. They are in the inventory only
+    /// once all bytes have arrived.
     async fn load(&self, order: LoadOrder) -> Result<(), Error>;
 
     /// Unloads weights.
     async fn unload(&self, manifest: Digest, fence: Fence) -> Result<(), Error>;
 
-    /// Changes what it does with requests.
+    /// Changes the role of the engine.
     async fn change_role(&self, role: Role, fence: Fence) -> Result<(), Error>;
 
-    /// Answers a request with these weights, from a position on; dropping the pieces cancels it.
+    /// Generates the answer to a request with these weights, from the position in the request.
+    /// Dropping the stream cancels the request.
     async fn generate(&self, manifest: Digest, request: &Generate) -> Result<Pieces, Error>;
 
-    /// What it is busy with; lags.
+    /// Returns the load of the engine, which may be out of date.
     async fn load_report(&self) -> Result<Load, Error>;
 
-    /// Events of its prefix cache after a sequence number.
+    /// Returns the events of the prefix cache after a sequence number.
     async fn cache_events(&self, after: u64) -> Result<Vec<CacheEvent>, Error>;
 
-    /// The KV cache of a prefix; `None` when it is not cached.
+    /// Returns the KV cache of a prefix; `None` if it is not cached.
     async fn export_cache(&self, manifest: Digest, prefix: &str) -> Result<Option<Bytes>, Error>;
 
-    /// Takes in the KV cache of a prefix.
+    /// Stores the KV cache of a prefix.
     async fn import_cache(&self, manifest: Digest, prefix: &str, cache: Bytes)
     -> Result<(), Error>;
 }
@@ -128,9 +132,9 @@
 /// A plain service.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Passes a call on; its URI is the path and query alone.
+    /// Forwards a request, whose URI consists of the path and query only.
     async fn call(&self, request: Request<Body>) -> Result<Response<Body>, Error>;
 
-    /// Whether it takes calls.
+    /// Whether the service accepts requests.
     async fn is_ready(&self) -> bool;
 }
--- a/src/cinderspoke/lib.rs
+++ b/src/cinderspoke/lib.rs
@@ -1,18 +1,18 @@
-//! Cinderspoke distributes the weights of many small models to hundreds of
-//! instances in bursts, while live requests keep being answered.
+//! Cinderspoke distributes the weights of many small models to hundreds of instances in bursts,
+//! while the instances continue to serve requests.
 //!
-//! This library holds what the programs do; each program is a thin `main` over
-//! it. The decisions themselves are in [`cinderspoke_core`], which does no I/O.
+//! This library implements the programs; each program is a thin `main` on top of it. The decision
+//! logic is in [`cinderspoke_core`], which does no I/O.
 //!
-//! - [`entry`]: the program on each entry instance. It answers callers, takes
-//!   operators' changes and relays configuration and membership in its zone.
-//! - [`agent`]: the program beside each endpoint. It collects and gives chunks
-//!   of weights, gives its endpoint orders and passes requests on.
+//! - [`entry`]: the program on each entry instance. It serves callers, applies operators' changes and
+//!   relays the configuration and the membership within its availability zone.
+//! - [`agent`]: the program on the instance of each endpoint. It exchanges chunks of weights with
+//!   peers, sends orders to its endpoint and forwards requests to it.
 //! - [`gateway`] and [`stager`]: the same two programs on a platform that keeps
 //!   configuration, versions and the list of endpoints.
-//! - [`ops`]: what the operator's commands do.
-//! - [`ports`] and [`endpoint`]: what we do not own, behind narrow traits.
-//! - [`util`]: what the programs share.
+//! - [`ops`]: the operator's commands.
+//! - [`ports`] and [`endpoint`]: the traits for external systems and their implementations.
+//! - [`util`]: utilities that the programs share.
 
 pub mod agent;
 pub mod endpoint;
--- a/src/cinderspoke/ops/apply.rs
+++ b/src/cinderspoke/ops/apply.rs
@@ -1,4 +1,4 @@
-//! `cinderspoke apply`: puts a set of files in force as a whole.
+//! `cinderspoke apply`: applies a set of files atomically.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use super::client::{Admin, ApplyError};
 use super::{Console, Exit, Report, files, findings, status};
 
-/// What is to be applied, by whom and on what base.
+/// The arguments of a change, besides its files.
 #[derive(Debug, Clone)]
 pub struct Change {
-    /// The generation that the operator has seen.
+    /// The generation on which the files are based.
     pub base: Generation,
-    /// Who asks.
+    /// The author of the change.
     pub author: Author,
-    /// The name of this attempt; the same name never takes effect twice.
+    /// The name of the operation; a change with the same name takes effect at most once.
     pub operation: Operation,
-    /// For how long to wait until everything is live; `None` not to wait.
+    /// How long to wait until all replicas are live; `None` to return at once.
     pub wait: Option<Duration>,
 }
 
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// When the files cannot be read or the entry instance does not answer.
+/// If the files cannot be read, or if not all replicas are live within the time to wait.
 pub async fn apply(
     directory: &Path,
     admin: &Admin,
--- a/src/cinderspoke/ops/audit.rs
+++ b/src/cinderspoke/ops/audit.rs
@@ -1,4 +1,5 @@
-//! `cinderspoke audit`: who changed what, when, from which generation to which.
+//! `cinderspoke audit`: lists accepted and refused changes with their authors, times and
+//! generations.
 
 use anyhow::Result;
 use cinderspoke_schema::control::Audit;
@@ -6,14 +7,14 @@
 use super::client::Admin;
 use super::{Exit, Report};
 
-/// Reads the audit trail, newest first.
+/// Reads the newest `limit` records of the audit trail, newest first.
 ///
 /// # Errors
 ///
-/// When the entry instance does not answer.
-pub async fn audit(admin: &Admin, most: usize) -> Result<Report> {
+/// If the entry instance does not answer.
+pub async fn audit(admin: &Admin, limit: usize) -> Result<Report> {
     let mut report = admin.audit().await?;
-    report.records.truncate(most);
+    report.records.truncate(limit);
     let lines: Vec<_> = report.records.iter().map(line).collect();
     Report::new(lines.join("\n"), &report, Exit::Done)
 }
@@ -21,19 +22,20 @@
 fn line(record: &Audit) -> String {
     let Audit { operation, author, at_ms, base, outcome, detail, generation } = record;
     let to = generation.map_or("-".into(), |generation| generation.to_string());
-    format!("{} {author} {outcome} {base} -> {to} {operation}: {detail}", time(*at_ms))
+    format!("{} {author} {outcome} {base} -> {to} {operation}: {detail}", format_time(*at_ms))
 }
 
-/// A time of the wall clock in UTC, to the second.
-fn time(at_ms: u64) -> String {
+/// Formats a Unix time in milliseconds as UTC, to the second.
+fn format_time(at_ms: u64) -> String {
     let (days, seconds) = (at_ms / 86_400_000, at_ms / 1000 % 86_400);
     let (year, month, day) = date(days);
     let (hour, minute, second) = (seconds / 3600, seconds / 60 % 60, seconds % 60);
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// The date a number of days after 1970-01-01, by counting in years that
-/// begin in March, so that a leap day is the last of its year.
+/// Returns year, month and day for a number of days since 1970-01-01, in the Gregorian calendar.
+///
+/// Computes with years that begin in March, so that a leap day is the last day of its year.
 fn date(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let (era, of_era) = (days / 146_097, days % 146_097);
--- a/src/cinderspoke/ops/check.rs
+++ b/src/cinderspoke/ops/check.rs
@@ -1,4 +1,4 @@
-//! `cinderspoke check`: all findings in a set of files.
+//! `cinderspoke check`: reports all findings in a set of files.
 
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// When they cannot be read.
+/// If the files cannot be read.
 pub fn check(directory: &Path) -> Result<Report> {
     let files = files::read(directory)?;
     findings(&Configuration::check(&files).err().unwrap_or_default(), files.len())
--- a/src/cinderspoke/ops/client.rs
+++ b/src/cinderspoke/ops/client.rs
@@ -1,4 +1,4 @@
-//! The administration API, as operators' programs call it.
+//! A client for the administration API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,17 +12,17 @@
 
 use crate::util::http::{Call, Client, Error};
 
-/// How long an entry instance may take to carry out a change.
+/// Timeout for a change.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A change that was refused.
+/// Why a change was not accepted, or why its outcome is unknown.
 #[derive(Debug, Display)]
 pub enum ApplyError {
     /// {title}
     Problem {
-        /// What is wrong.
+        /// The title of the problem.
         title: String,
-        /// The whole problem.
+        /// The problem that the entry instance reported.
         problem: Box<Problem>,
     },
     /// {0}
@@ -31,7 +31,7 @@
 
 impl std::error::Error for ApplyError {}
 
-/// The administration API of an entry instance.
+/// A client for the administration API of an entry instance.
 #[derive(Debug, Clone)]
 pub struct Admin {
     client: Client,
@@ -39,26 +39,26 @@
 }
 
 impl Admin {
-    /// The administration API at an address.
+    /// Creates a client for the administration API at an address.
     #[must_use]
     pub fn new(client: Client, address: SocketAddr) -> Self {
         Self { client, address }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     ///
     /// # Errors
     ///
-    /// When no answer came.
+    /// If the call fails.
     pub async fn configuration(&self) -> Result<ConfigurationReport> {
         Ok(self.client.fetch_json(Call::get(self.address, "/v1/configuration")).await?)
     }
 
-    /// Puts files in force as a whole.
+    /// Applies a set of files atomically.
     ///
     /// # Errors
     ///
-    /// When the change was refused, or no answer came.
+    /// If the change is refused, or if the call fails.
     pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReply, ApplyError> {
         let call = Call::new(Method::POST, self.address, "/v1/apply");
         let answer = self.client.fetch_json(call.json(request).timeout(APPLY_TIMEOUT)).await;
@@ -73,20 +73,20 @@
         })
     }
 
-    /// What runs, what moves and what is not in force yet.
+    /// Returns the status report.
     ///
     /// # Errors
     ///
-    /// When no answer came.
+    /// If the call fails.
     pub async fn status(&self) -> Result<StatusReport> {
         Ok(self.client.fetch_json(Call::get(self.address, "/v1/status")).await?)
     }
 
-    /// The audit trail.
+    /// Returns the audit trail.
     ///
     /// # Errors
     ///
-    /// When no answer came.
+    /// If the call fails.
     pub async fn audit(&self) -> Result<AuditReport> {
         Ok(self.client.fetch_json(Call::get(self.address, "/v1/audit")).await?)
     }
--- a/src/cinderspoke/ops/diff.rs
+++ b/src/cinderspoke/ops/diff.rs
@@ -1,4 +1,4 @@
-//! `cinderspoke diff`: what applying a set of files would change.
+//! `cinderspoke diff`: shows what applying a set of files would change.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// When the files cannot be read or the entry instance does not answer.
+/// If the files cannot be read or the entry instance does not answer.
 pub async fn diff(directory: &Path, admin: &Admin) -> Result<Report> {
     let files = files::read(directory)?;
     let after = match Configuration::check(&files) {
@@ -20,7 +20,7 @@
         Err(found) => return findings(&found, files.len()),
     };
     let current = admin.configuration().await?;
-    // Before the first change nothing is in force, and everything is new.
+    // Before the first change no configuration is in force, so every item is new.
     let before = Configuration::check(&current.files).unwrap_or_else(|_| Configuration {
         zones: Default::default(),
         teams: Default::default(),
--- a/src/cinderspoke/ops/files.rs
+++ b/src/cinderspoke/ops/files.rs
@@ -1,4 +1,4 @@
-//! Reading a set of operators' files.
+//! Reads the set of files that an operator wants to check, compare or apply.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 ///
-/// When the directory or a file in it cannot be read.
+/// If the directory or a file in it cannot be read.
 pub fn read(directory: &Path) -> Result<Vec<Part>> {
     let context = || format!("reading {}", directory.display());
     let mut files = Vec::new();
--- a/src/cinderspoke/ops/mod.rs
+++ b/src/cinderspoke/ops/mod.rs
@@ -1,7 +1,7 @@
-//! What the operator's commands do.
+//! The implementation of the operator's commands.
 //!
-//! A command parses its arguments and calls one function here, which gives a
-//! [`Report`]: text for people, JSON for programs, and an exit code.
+//! A command parses its arguments and calls one function here, which returns a [`Report`]: text for
+//! people, JSON for programs, and an exit code.
 
 pub mod apply;
 pub mod audit;
@@ -18,27 +18,27 @@
 use cinderspoke_schema::control::Finding;
 use serde::Serialize;
 
-/// How a command ended; the number is the program's exit code.
+/// The result of a command; the value is the program's exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The command succeeded.
     Done = 0,
-    /// It could not, for a reason that is told.
+    /// The command failed; the report or an error says why.
     Failed = 1,
     /// The files have findings; nothing was applied.
     Findings = 3,
-    /// Another generation is in force than the change is based on; nothing was applied.
+    /// The generation in force is not the base of the change; nothing was applied.
     Conflict = 4,
-    /// Whether the change was accepted is not known.
+    /// It is not known whether the change was accepted.
     Unknown = 5,
 }
 
-/// What the exit codes mean, for the commands' help.
+/// The meaning of the exit codes, for the commands' help.
 pub const EXIT_CODES: &str = "Exit codes: 0 done; 1 failed; 2 wrong arguments; 3 the files have findings; \
      4 another generation is in force than --base; 5 not known whether the change was accepted \
      (ask again with the same --operation).";
 
-/// What a command has to say.
+/// The output of a command.
 #[derive(Debug)]
 pub struct Report {
     /// For people.
@@ -50,17 +50,17 @@
 }
 
 impl Report {
-    /// A report of a value.
+    /// Creates a report with a text and a value.
     ///
     /// # Errors
     ///
-    /// When the value cannot be written as JSON.
+    /// If the value cannot be converted to JSON.
     pub fn new<T: Serialize>(text: String, value: &T, exit: Exit) -> Result<Self> {
         Ok(Self { text, json: serde_json::to_value(value)?, exit })
     }
 }
 
-/// Where a command's output goes.
+/// The format of a command's output.
 #[derive(Debug, Clone, Copy)]
 pub struct Console {
     /// Whether reports are written as JSON.
@@ -68,7 +68,7 @@
 }
 
 impl Console {
-    /// Whether progress is shown: only to a person, never into a pipe.
+    /// Whether progress is shown: only if standard error is a terminal and reports are not JSON.
     #[must_use]
     pub fn shows_progress(self) -> bool {
         !self.json && std::io::stderr().is_terminal()
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// When standard output cannot be written.
+    /// If writing to standard output fails.
     pub fn write(self, report: &Report) -> Result<()> {
         let mut out = std::io::stdout().lock();
         if self.json {
@@ -90,11 +90,11 @@
     }
 }
 
-/// A report on findings; done where there are none.
+/// Creates a report of findings; its result is [`Exit::Done`] if there are none.
 ///
 /// # Errors
 ///
-/// When they cannot be written as JSON.
+/// If the findings cannot be converted to JSON.
 pub fn findings(findings: &[Finding], files: usize) -> Result<Report> {
     let mut text = crate::util::settings::report(findings);
     let exit = if findings.is_empty() {
--- a/src/cinderspoke/ops/status.rs
+++ b/src/cinderspoke/ops/status.rs
@@ -1,4 +1,5 @@
-//! `cinderspoke status`: what runs, what moves and what is not in force yet.
+//! `cinderspoke status`: shows running replicas, transfers in progress and instances that do not
+//! follow the current plan yet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,14 +13,14 @@
 use super::client::Admin;
 use super::{Console, Exit, Report};
 
-/// How often a wait looks at the status.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which a wait polls the status.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Reads the status.
 ///
 /// # Errors
 ///
-/// When the entry instance does not answer.
+/// If the entry instance does not answer.
 pub async fn status(admin: &Admin) -> Result<Report> {
     let report = admin.status().await?;
     Report::new(text(&report), &report, Exit::Done)
@@ -71,11 +72,11 @@
     )
 }
 
-/// Waits until every replica is live at a generation, with progress bars for a person.
+/// Waits until all replicas of a generation are live. Shows progress bars on a terminal.
 ///
 /// # Errors
 ///
-/// When that takes longer than `limit`.
+/// If that takes longer than `limit`.
 pub async fn wait(
     admin: &Admin,
     generation: Generation,
@@ -85,20 +86,20 @@
     let deadline = Instant::now() + limit;
     let mut bars = Bars::new(console);
     while Instant::now() < deadline {
-        // An entry instance that does not answer now may do so at the next look.
+        // An entry instance that does not answer now may answer the next poll.
         if let Ok(report) = admin.status().await {
             bars.show(&report);
             if is_live(&report, generation) {
                 return Ok(report);
             }
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     bail!("generation {generation} is accepted, but not live everywhere after {limit:?}")
 }
 
-/// Whether every service has all its replicas live at a generation, on all
-/// instances, and nothing of other versions is left.
+/// Whether a generation is in force in all availability zones, every service has all its replicas
+/// live, and no replica of another version is live.
 #[must_use]
 pub fn is_live(report: &StatusReport, generation: Generation) -> bool {
     let live = |service: &ServiceStatus| match service.wanted {
@@ -117,7 +118,7 @@
 }
 
 impl Bars {
-    /// Bars on a terminal; none in a pipe.
+    /// Creates the bars; they are hidden if the console shows no progress.
     #[must_use]
     pub fn new(console: Console) -> Self {
         let all = MultiProgress::new();
@@ -127,7 +128,7 @@
         Self { all, bars: BTreeMap::new() }
     }
 
-    /// Shows how many replicas are live.
+    /// Updates the number of live replicas of each service.
     pub fn show(&mut self, report: &StatusReport) {
         for service in report.services.iter().filter(|service| service.wanted > 0) {
             let name = service.service.to_string();
--- a/src/cinderspoke/stager/mod.rs
+++ b/src/cinderspoke/stager/mod.rs
@@ -116,7 +116,8 @@
     ///
     /// When no engine is beside it by its settings, or an address cannot be listened to.
     pub async fn bind(settings: &settings::Node, parts: Parts) -> Result<Self> {
-        let beside = settings.beside.as_ref().context("the settings name no engine beside")?;
+        let beside =
+            settings.beside.as_ref().context("the settings contain no engine (`beside`)")?;
         let own = internal_address(settings);
         let listener = listen::tcp(own).await?;
         let socket = listen::udp(own).await?;
