--- a/src/cinderspoke/util/reload.rs
+++ b/src/cinderspoke/util/reload.rs
@@ -128,14 +128,14 @@
                 if !changed.is_empty() {
                     sender.send_replace(Arc::clone(&self.in_force));
                 }
-                tracing::info!(changed, at_next_start, "settings read again");
+                tracing::info!(changed, at_next_start, "settings reloaded");
             }
             Err(error) => {
                 let findings = error.downcast_ref::<settings::Error>();
                 let findings = findings.map_or_else(|| format!("{error:#}"), |it| it.findings());
                 tracing::warn!(
                     findings,
-                    "settings cannot be used, the last ones stay in force"
+                    "settings cannot be used, the previous ones stay in force"
                 );
             }
         }
--- a/tests/testsuite/reload.rs
+++ b/tests/testsuite/reload.rs
@@ -137,7 +137,7 @@
         program.wait_line(started);
         for _ in 0..2 {
             program.signal("-HUP");
-            program.wait_line("settings read again");
+            program.wait_line("settings reloaded");
         }
         assert_eq!(program.stop(), Some(0));
     }
@@ -207,7 +207,7 @@
     gate.arrived.acquire().await.unwrap().forget();
     for program in &programs {
         program.signal("-HUP");
-        program.wait_line("settings read again");
+        program.wait_line("settings reloaded");
     }
     gate.open.add_permits(1);
     assert_eq!(call.await.unwrap(), Answer::Whole { manifest: None });
@@ -257,7 +257,7 @@
     other["bounds"]["version_ms"] = 7000.into();
     replace(&path, &other);
     gateway.signal("-HUP");
-    let changed = changed_settings(&gateway.wait_line("settings read again"));
+    let changed = changed_settings(&gateway.wait_line("settings reloaded"));
     assert_eq!(changed, ("bounds.version_ms".into(), String::new()));
     assert_eq!(gateway.stop(), Some(0));
 }
@@ -291,7 +291,7 @@
     assert!(gateway.wait_line("settings cannot be used").contains("not found"));
     replace(&path, &settings);
     gateway.signal("-HUP");
-    gateway.wait_line("settings read again");
+    gateway.wait_line("settings reloaded");
     assert_eq!(gateway.stop(), Some(0));
 }
 
@@ -329,7 +329,7 @@
     settings["log"]["filter"] = QUIET.into();
     settings["lease_ms"] = 6000.into();
     replace(&path, &settings);
-    let line = entry.wait_line("settings read again");
+    let line = entry.wait_line("settings reloaded");
     assert!(line.contains("log.filter") && line.contains("lease_ms"), "{line}");
     entry.signal("-TERM");
     let rest: Vec<String> = entry.lines.iter().collect();
@@ -343,12 +343,12 @@
     settings["seeds"] = json!(["10.0.0.1:1"]);
     settings["limits"]["link_mbps"] = 500.0.into();
     replace(&path, &settings);
-    let changed = changed_settings(&gateway.wait_line("settings read again"));
+    let changed = changed_settings(&gateway.wait_line("settings reloaded"));
     assert_eq!(changed, ("limits.link_mbps, seeds".into(), String::new()));
     settings["zone"] = "b".into();
     settings["seeds"] = json!([]);
     replace(&path, &settings);
-    let changed = changed_settings(&gateway.wait_line("settings read again"));
+    let changed = changed_settings(&gateway.wait_line("settings reloaded"));
     assert_eq!(changed, ("seeds".into(), "zone".into()));
     assert_eq!(gateway.stop(), Some(0));
 }
