--- a/crates/core/src/document.rs
+++ b/crates/core/src/document.rs
@@ -49,7 +49,7 @@
     ///
     /// All findings in the file, including those from parsing.
     pub fn check<T: DeserializeOwned>(&mut self, schema: &Value) -> Result<T, Vec<Finding>> {
-        // After a syntax error, a key that the schema requires may only be unparsed.
+        // After a syntax error, a required key may be absent only because it was not parsed.
         if self.findings.is_empty() {
             self.check_schema(schema);
         }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -13,7 +13,7 @@
 use cinderspoke_types::counter::{Revision, Term};
 use cinderspoke_types::id::Instance;
 
-/// A holder renews the lease after its length divided by this.
+/// How many times a holder renews its lease within the lease's length.
 const RENEWALS_PER_LEASE: u32 = 3;
 
 /// What a candidate does next.
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -29,14 +29,14 @@
     members: &[Member],
     previous: &Placements,
 ) -> Placements {
-    let mut planner = Planner::new(configuration, members);
+    let mut assignment = Assignment::new(configuration, members);
     for service in configuration.services.values() {
-        planner.keep(service, previous);
+        assignment.keep(service, previous);
     }
     for service in configuration.services.values() {
-        planner.fill(service);
+        assignment.fill(service);
     }
-    planner.into_placements()
+    assignment.into_placements()
 }
 
 fn priority(priority: operator::Priority) -> Priority {
@@ -55,13 +55,13 @@
     weights: BTreeSet<cinderspoke_types::digest::Digest>,
 }
 
-/// The state of one placement.
-struct Planner<'a> {
+/// Assigns replicas to instances, service by service.
+struct Assignment<'a> {
     configuration: &'a Configuration,
     slots: BTreeMap<&'a id::Instance, Slot<'a>>,
 }
 
-impl<'a> Planner<'a> {
+impl<'a> Assignment<'a> {
     fn new(configuration: &'a Configuration, members: &'a [Member]) -> Self {
         let ready = members.iter().filter(|member| member.state == State::Ready);
         let slot = |member: &'a Member| Slot {
