--- a/src/cinderspoke/lib.rs
+++ b/src/cinderspoke/lib.rs
@@ -4,12 +4,12 @@
 //! This library implements the programs; each program is a thin `main` on top of it. The decision
 //! logic is in [`cinderspoke_core`], which does no I/O.
 //!
-//! - [`entry`]: the program on each entry instance. It serves callers, applies operators' changes and
-//!   relays the configuration and the membership within its availability zone.
+//! - [`entry`]: the program on each entry instance. It serves callers, applies operators' changes
+//!   and relays the configuration and the membership within its availability zone.
 //! - [`agent`]: the program on the instance of each endpoint. It exchanges chunks of weights with
 //!   peers, sends orders to its endpoint and forwards requests to it.
-//! - [`gateway`] and [`stager`]: the same two programs on a platform that keeps
-//!   configuration, versions and the list of endpoints.
+//! - [`gateway`] and [`stager`]: the same two programs on a platform that stores
+//!   the configuration, the versions and the list of endpoints.
 //! - [`ops`]: the operator's commands.
 //! - [`ports`] and [`endpoint`]: the traits for external systems and their implementations.
 //! - [`util`]: utilities that the programs share.
