--- a/tests/testsuite/gateway/caller_timeout.rs
+++ b/tests/testsuite/gateway/caller_timeout.rs
@@ -1,4 +1,4 @@
-//! How long a caller has waited before an attempt.
+//! Estimates of how long a caller has waited before an attempt.
 
 use std::time::Duration;
 
@@ -6,54 +6,54 @@
 
 use super::ms;
 
-/// A route whose callers wait for 6 s.
-fn usual() -> Estimator {
-    let mut usual = Estimator::default();
-    (0..20).for_each(|_| assert_eq!(usual.observe(ms(6000)), Duration::ZERO));
-    usual
+/// The estimator of a route whose callers time out after 6 s.
+fn estimator() -> Estimator {
+    let mut estimator = Estimator::default();
+    (0..20).for_each(|_| assert_eq!(estimator.observe(ms(6000)), Duration::ZERO));
+    estimator
 }
 
 #[test]
-fn who_has_less_time_than_usual_has_waited_for_the_rest() {
-    let mut usual = usual();
-    assert_eq!(usual.observe(ms(5500)), ms(500));
-    assert_eq!(usual.observe(ms(5990)), Duration::ZERO, "as good as all of it");
+fn a_shorter_timeout_than_usual_means_that_the_caller_has_waited() {
+    let mut estimator = estimator();
+    assert_eq!(estimator.observe(ms(5500)), ms(500));
+    assert_eq!(estimator.observe(ms(5990)), Duration::ZERO, "within the tolerance");
 }
 
-// Were the longest time taken for the usual one, one patient caller would make all
+// If the longest timeout counted as the usual one, one caller with a long timeout would make all
 // others count as late.
 #[test]
-fn one_caller_that_waits_much_longer_changes_nothing() {
-    let mut usual = usual();
-    assert_eq!(usual.observe(ms(60_000)), Duration::ZERO);
-    assert_eq!(usual.observe(ms(6000)), Duration::ZERO);
-    assert_eq!(usual.observe(ms(5500)), ms(500));
+fn one_caller_with_a_much_longer_timeout_changes_nothing() {
+    let mut estimator = estimator();
+    assert_eq!(estimator.observe(ms(60_000)), Duration::ZERO);
+    assert_eq!(estimator.observe(ms(6000)), Duration::ZERO);
+    assert_eq!(estimator.observe(ms(5500)), ms(500));
 }
 
 #[test]
-fn nothing_is_known_where_all_wait_differently() {
-    let mut usual = Estimator::default();
-    let waited = (0..500).map(|number| usual.observe(ms(1000 + 997 * (number * 37 % 101))));
+fn the_wait_is_unknown_if_all_timeouts_differ() {
+    let mut estimator = Estimator::default();
+    let waited = (0..500).map(|number| estimator.observe(ms(1000 + 997 * (number * 37 % 101))));
     assert!(waited.into_iter().all(|waited| waited == Duration::ZERO));
 }
 
 #[test]
-fn another_usual_time_is_taken_over() {
-    let mut usual = usual();
-    (0..100).for_each(|_| _ = usual.observe(ms(3000)));
-    assert_eq!(usual.observe(ms(3000)), Duration::ZERO);
-    assert_eq!(usual.observe(ms(2000)), ms(1000));
+fn a_new_usual_timeout_is_adopted() {
+    let mut estimator = estimator();
+    (0..100).for_each(|_| _ = estimator.observe(ms(3000)));
+    assert_eq!(estimator.observe(ms(3000)), Duration::ZERO);
+    assert_eq!(estimator.observe(ms(2000)), ms(1000));
 }
 
-// Load pattern: most are refused, and come back once.
+// Load pattern: most requests are refused, and retried once.
 #[test]
-fn who_comes_back_does_not_outvote_first_attempts() {
-    let mut usual = usual();
+fn retries_do_not_outvote_first_attempts() {
+    let mut estimator = estimator();
     for number in 0..300 {
-        assert_eq!(usual.observe(ms(6000)), Duration::ZERO);
+        assert_eq!(estimator.observe(ms(6000)), Duration::ZERO);
         if number % 4 != 0 {
             let waited = ms(400 + number);
-            assert_eq!(usual.observe(ms(6000) - waited), waited);
+            assert_eq!(estimator.observe(ms(6000) - waited), waited);
         }
     }
 }
--- a/tests/testsuite/gateway/late_updates.rs
+++ b/tests/testsuite/gateway/late_updates.rs
@@ -1,4 +1,4 @@
-//! Ages of versions, where news of them came late at some and not at others.
+//! Ages of versions if updates about them arrive late at some processes and in time at others.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_a_forgotten_version_ended_stays_ended_when_another_process_saw_the_newer_ones() {
+fn a_version_stays_expired_after_a_merge_with_a_process_that_saw_newer_ones() {
     let (mut timeline, mut other) = (Timeline::default(), Timeline::default());
     timeline.record(&named(2), Age::Within(ms(6000)), ms(10_000));
     follow(&mut timeline);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_a_version_found_at_the_start_ended_stays_ended_when_it_is_forgotten() {
+fn a_version_that_was_expired_at_the_start_stays_expired_as_newer_ones_follow() {
     let mut timeline = Timeline::default();
     timeline.record(&named(2), Age::Found, ms(10_000));
     assert_eq!(left(&timeline, 1, 10_000), Some(Duration::ZERO));
@@ -47,10 +47,10 @@
     assert_eq!(left(&timeline, 1, 10_000), Some(Duration::ZERO));
 }
 
-// All that a watch brings that was made anew counts as old until it has answered once,
-// so that it has to answer soon.
+// Everything that a re-established watch delivers counts as old until the watch has answered once,
+// so the watch has to answer soon.
 #[test]
-fn what_comes_long_after_a_watch_was_made_anew_is_new() {
+fn an_update_long_after_a_watch_was_re_established_is_new() {
     let mut watch = Watch::new(ms(0));
     watch.record_complete(ms(10_000));
     watch.record_failure(ms(1000));
--- a/tests/testsuite/gateway/link.rs
+++ b/tests/testsuite/gateway/link.rs
@@ -1,11 +1,11 @@
-//! What chunks tell of a link.
+//! Detection of congested links by chunk requests.
 
 use cinderspoke_core::gateway::link::{Link, Observation};
 
 use super::ms;
 
 #[test]
-fn a_link_is_narrow_for_a_while_after_a_slow_chunk_or_one_that_did_not_come() {
+fn a_link_is_congested_for_a_while_after_a_slow_or_failed_chunk_request() {
     let mut link = Link::default();
     assert!(!link.is_congested(ms(0)));
     link.observe(Observation::ResponseTime(ms(200)), ms(1000));
@@ -13,7 +13,7 @@
     link.observe(Observation::ResponseTime(ms(900)), ms(2000));
     assert!(link.is_congested(ms(2000)) && link.is_congested(ms(6900)));
     link.observe(Observation::ResponseTime(ms(200)), ms(3000));
-    assert!(link.is_congested(ms(3000)), "one quick chunk does not refute it");
+    assert!(link.is_congested(ms(3000)), "one fast chunk does not end it");
     assert!(!link.is_congested(ms(7100)));
     link.observe(Observation::NoResponse, ms(8000));
     assert!(link.is_congested(ms(8100)));
--- a/tests/testsuite/gateway/pick.rs
+++ b/tests/testsuite/gateway/pick.rs
@@ -1,4 +1,4 @@
-//! Choosing an endpoint, or refusing.
+//! The choice of an endpoint, or a refusal.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,8 +15,8 @@
     Candidate { number, distance, forecast, age, service_time: turn, is_probe: false, agent }
 }
 
-/// A request that comes so long after its caller's first attempt.
-fn wish(waited: Duration) -> Requirements {
+/// The requirements of a request that arrives a time after its caller's first attempt.
+fn requirements(waited: Duration) -> Requirements {
     let (aim, deadline) = (ms(400), ms(6000));
     let target = aim.saturating_sub(waited);
     let deadline = deadline - waited;
@@ -32,88 +32,88 @@
     }
 }
 
-fn is_sent(wish: &Requirements, first: Duration) -> bool {
+fn is_sent(requirements: &Requirements, first: Duration) -> bool {
     let only = [candidate(0, first, Distance::Zone)];
-    matches!(pick(wish, &only), Choice::Send { .. })
+    matches!(pick(requirements, &only), Choice::Send { .. })
 }
 
 #[test]
-fn the_endpoint_that_begins_first_is_chosen_and_near_ones_win_ties() {
+fn the_lowest_ttft_is_chosen_and_the_nearest_endpoint_wins_ties() {
     let candidates = [
         candidate(0, ms(300), Distance::Zone),
         candidate(1, ms(100), Distance::Far),
         candidate(2, ms(100), Distance::Zone),
     ];
-    assert_eq!(pick(&wish(ms(0)), &candidates), Choice::Send { number: 2, ttft: ms(100) });
+    assert_eq!(pick(&requirements(ms(0)), &candidates), Choice::Send { number: 2, ttft: ms(100) });
 }
 
 #[test]
-fn who_would_be_late_is_refused() {
-    assert!(is_sent(&wish(ms(0)), ms(250)));
-    assert!(!is_sent(&wish(ms(0)), ms(900)));
-    assert!(matches!(pick(&wish(ms(0)), &[]), Choice::Refuse { best: None, .. }));
+fn a_request_that_would_be_late_is_refused() {
+    assert!(is_sent(&requirements(ms(0)), ms(250)));
+    assert!(!is_sent(&requirements(ms(0)), ms(900)));
+    assert!(matches!(pick(&requirements(ms(0)), &[]), Choice::Refuse { best: None, .. }));
 }
 
-// Load pattern: for long, more demand than endpoints can serve. Were those who come
-// back late served before others, all would be late in the end.
+// Load pattern: sustained overload. If late retries were served before other requests, all requests
+// would be late in the end.
 #[test]
-fn who_is_late_already_takes_no_place_from_those_in_time() {
-    assert!(!is_sent(&wish(ms(1500)), ms(250)));
-    assert!(is_sent(&wish(ms(1500)), ms(120)), "there is room for fresh and late requests");
+fn a_late_request_does_not_displace_requests_in_time() {
+    assert!(!is_sent(&requirements(ms(1500)), ms(250)));
+    assert!(is_sent(&requirements(ms(1500)), ms(120)), "there is capacity for both");
 }
 
-// Load pattern: for seconds, no endpoint has the version that is wanted. Who is told
-// to come back sooner is refused again.
+// Load pattern: for seconds, no endpoint has the target version. A caller with a shorter retry
+// delay is refused again.
 #[test]
-fn who_finds_no_weights_comes_back_when_they_may_be_there() {
-    let come_back = |weights_missing, spread| {
-        let wish = Requirements { weights_missing, seed: spread, ..wish(ms(0)) };
-        match pick(&wish, &[]) {
-            Choice::Refuse { retry_after: come_back, best: None } => come_back,
+fn without_weights_the_retry_delay_allows_for_loading_them() {
+    let retry_after = |weights_missing, spread| {
+        let requirements = Requirements { weights_missing, seed: spread, ..requirements(ms(0)) };
+        match pick(&requirements, &[]) {
+            Choice::Refuse { retry_after, best: None } => retry_after,
             choice => panic!("{choice:?}"),
         }
     };
     for spread in 0..2000 {
-        assert!(come_back(true, spread) >= ms(1000));
-        assert!(come_back(true, spread) <= ms(2000), "a third of what callers wait");
-        assert!(come_back(false, spread) < ms(500));
+        assert!(retry_after(true, spread) >= ms(1000));
+        assert!(retry_after(true, spread) <= ms(2000), "a third of the callers' timeout");
+        assert!(retry_after(false, spread) < ms(500));
     }
 }
 
-// A request that begins when its caller has left takes an engine's time from others in vain.
+// A request whose caller disconnects before the first token wastes engine time.
 #[test]
-fn who_cannot_begin_before_its_caller_leaves_is_refused() {
+fn a_request_that_cannot_begin_before_its_deadline_is_refused() {
     let is_sent = |own: u64| {
         let forecast = Forecast { wait: ms(100), prefill: ms(own), usual_prefill: ms(50) };
         let only = [Candidate { forecast, ..candidate(0, ms(0), Distance::Zone) }];
-        matches!(pick(&wish(ms(0)), &only), Choice::Send { .. })
+        matches!(pick(&requirements(ms(0)), &only), Choice::Send { .. })
     };
     assert!(is_sent(5900));
-    assert!(!is_sent(5901), "its caller waits for 6 s");
+    assert!(!is_sent(5901), "its deadline is after 6 s");
 }
 
-// A caller that is refused for its size once is refused each time that it comes back.
+// If a request were refused for its size, each of its retries would be refused as well.
 #[test]
-fn who_comes_back_with_a_long_prompt_finds_an_endpoint_that_is_free() {
+fn a_retry_with_a_long_prompt_is_sent_to_a_free_endpoint() {
     let forecast = Forecast { wait: ms(20), prefill: ms(800), usual_prefill: ms(50) };
     let free = [Candidate { forecast, ..candidate(0, ms(0), Distance::Zone) }];
-    assert!(matches!(pick(&wish(ms(1500)), &free), Choice::Send { .. }));
+    assert!(matches!(pick(&requirements(ms(1500)), &free), Choice::Send { .. }));
 }
 
 #[test]
-fn who_comes_back_has_only_what_is_left_of_the_aim() {
-    assert!(is_sent(&wish(ms(100)), ms(190)));
-    assert!(!is_sent(&wish(ms(100)), ms(350)));
+fn a_retry_has_only_the_time_left_of_the_target() {
+    assert!(is_sent(&requirements(ms(100)), ms(190)));
+    assert!(!is_sent(&requirements(ms(100)), ms(350)));
 }
 
 #[test]
-fn who_was_sent_before_is_not_refused_for_being_late() {
-    let sent = Requirements { sent_before: true, ..wish(ms(1500)) };
+fn a_request_that_was_sent_before_is_not_refused_for_being_late() {
+    let sent = Requirements { sent_before: true, ..requirements(ms(1500)) };
     assert!(is_sent(&sent, ms(900)));
-    assert!(!is_sent(&sent, ms(5000)), "its caller would have left");
+    assert!(!is_sent(&sent, ms(5000)), "its caller would have disconnected");
 }
 
-// Load pattern: many gateways that know the same choose at the same moment.
+// Load pattern: many gateways with the same information choose at the same moment.
 #[test]
 fn requests_at_the_same_moment_go_to_many_endpoints() {
     let candidates: Vec<_> =
@@ -121,7 +121,7 @@
     let mut chosen = BTreeSet::new();
     for spread in 0..100 {
         let Choice::Send { number, .. } =
-            pick(&Requirements { seed: spread, ..wish(ms(0)) }, &candidates)
+            pick(&Requirements { seed: spread, ..requirements(ms(0)) }, &candidates)
         else {
             panic!("refused");
         };
@@ -130,65 +130,61 @@
     assert!(chosen.len() >= 15, "{chosen:?}");
 }
 
-// Load pattern: twice of what can be served. Every gateway is told of the same place
-// that became free.
+// Load pattern: demand of twice the capacity. Every gateway receives the report of the same free
+// slot.
 #[test]
-fn a_place_that_others_will_have_taken_by_now_is_none() {
-    let told = |age| Candidate { age, ..candidate(0, ms(200), Distance::Zone) };
-    let among = |rivals, age| {
-        let wish = Requirements { competing_rate: rivals, ..wish(ms(0)) };
-        matches!(pick(&wish, &[told(age)]), Choice::Send { .. })
+fn a_slot_that_others_have_presumably_taken_is_not_used() {
+    let reported = |age| Candidate { age, ..candidate(0, ms(200), Distance::Zone) };
+    let is_sent = |competing_rate, age| {
+        let requirements = Requirements { competing_rate, ..requirements(ms(0)) };
+        matches!(pick(&requirements, &[reported(age)]), Choice::Send { .. })
     };
-    assert!(among(200.0, ms(0)), "it has just been told");
-    assert!(!among(200.0, ms(50)), "ten requests came since");
-    assert!(among(2.0, ms(50)), "hardly any came since");
+    assert!(is_sent(200.0, ms(0)), "the report is new");
+    assert!(!is_sent(200.0, ms(50)), "ten requests have arrived since");
+    assert!(is_sent(2.0, ms(50)), "hardly any have arrived since");
 }
 
 #[test]
-fn rivals_share_out_among_all_places() {
-    let wish = Requirements { competing_rate: 60.0, ..wish(ms(0)) };
+fn competing_requests_are_spread_over_all_good_endpoints() {
+    let requirements = Requirements { competing_rate: 60.0, ..requirements(ms(0)) };
     let candidates = |count| {
         (0..count).map(|number| candidate(number, ms(200), Distance::Zone)).collect::<Vec<_>>()
     };
-    assert!(matches!(pick(&wish, &candidates(1)), Choice::Refuse { .. }));
-    assert!(matches!(pick(&wish, &candidates(12)), Choice::Send { .. }));
+    assert!(matches!(pick(&requirements, &candidates(1)), Choice::Refuse { .. }));
+    assert!(matches!(pick(&requirements, &candidates(12)), Choice::Send { .. }));
 }
 
 #[test]
-fn nobody_is_refused_while_any_endpoint_is_in_time() {
+fn no_request_is_refused_while_any_endpoint_is_in_time() {
     let mut candidates: Vec<_> =
         (0..40).map(|number| candidate(number, ms(2000), Distance::Zone)).collect();
     candidates[17].forecast.wait = ms(50);
     for spread in 0..100 {
-        let choice = pick(&Requirements { seed: spread, ..wish(ms(0)) }, &candidates);
+        let choice = pick(&Requirements { seed: spread, ..requirements(ms(0)) }, &candidates);
         assert_eq!(choice, Choice::Send { number: 17, ttft: ms(50) });
     }
 }
 
-// Callers wait for at most a third of what they have, and another gateway may have room.
+// Callers wait for at most a third of their remaining time, and another gateway may have capacity.
 #[yare::parameterized(
     soon = { ms(5), ms(300), ms(600) },
     in_a_while = { ms(1500), ms(1500), ms(1800) },
     long_after = { Duration::from_secs(60), ms(2000), ms(2300) },
 )]
-fn who_finds_only_endpoints_that_rest_comes_back_when_the_first_has_rested(
-    left: Duration,
-    least: Duration,
-    most: Duration,
-) {
+fn the_retry_delay_covers_the_shortest_backoff(left: Duration, least: Duration, most: Duration) {
     let mut times = BTreeSet::new();
     for spread in 0..64 {
-        let wish = Requirements {
+        let requirements = Requirements {
             backoff_left: Some(left),
             weights_missing: true,
             seed: spread * 16,
-            ..wish(ms(0))
+            ..requirements(ms(0))
         };
-        let Choice::Refuse { retry_after: come_back, best: None } = pick(&wish, &[]) else {
-            panic!("there is none to send to")
+        let Choice::Refuse { retry_after, best: None } = pick(&requirements, &[]) else {
+            panic!("there is no endpoint to send to")
         };
-        assert!(come_back >= least && come_back <= most, "{come_back:?}");
-        times.insert(come_back);
+        assert!(retry_after >= least && retry_after <= most, "{retry_after:?}");
+        times.insert(retry_after);
     }
-    assert!(times.len() > 32, "they would all come at once");
+    assert!(times.len() > 32, "all callers would retry at once");
 }
--- a/tests/testsuite/gateway/rotation.rs
+++ b/tests/testsuite/gateway/rotation.rs
@@ -1,4 +1,4 @@
-//! The turns in which agents tell gateways.
+//! The rotation in which agents report to gateways and query them.
 
 use cinderspoke_core::gateway::rotation::{queries_last_responder, scheduled};
 use yare::parameterized;
@@ -9,24 +9,25 @@
     many = { 40, 3 },
     hundreds = { 500, 3 },
 )]
-fn gateways_take_turns_in_being_told(gateways: usize, turns: usize) {
-    let told: Vec<usize> = (5..5 + turns).flat_map(|tick| scheduled(gateways, tick)).collect();
-    let mut all = told.clone();
+fn agents_report_to_gateways_in_rotation(gateways: usize, ticks: usize) {
+    let scheduled_numbers: Vec<usize> =
+        (5..5 + ticks).flat_map(|tick| scheduled(gateways, tick)).collect();
+    let mut all = scheduled_numbers.clone();
     all.sort_unstable();
-    assert!(all.into_iter().eq(0..gateways), "each is told once in {turns} turns");
-    assert!(scheduled(gateways, 0).count() <= gateways.div_ceil(turns));
+    assert!(all.into_iter().eq(0..gateways), "each is scheduled once in {ticks} ticks");
+    assert!(scheduled(gateways, 0).count() <= gateways.div_ceil(ticks));
 }
 
 #[test]
-fn no_turn_is_left_out_of_the_questions() {
-    for turns in 1..=3 {
-        let questions = (0..30).filter(|question| !queries_last_responder(*question));
-        let mut asked: Vec<_> = questions.map(|question| question % turns).collect();
-        asked.sort_unstable();
-        asked.dedup();
-        assert_eq!(asked.len(), turns);
+fn queries_reach_every_gateway_of_the_rotation() {
+    for ticks in 1..=3 {
+        let queries = (0..30).filter(|query| !queries_last_responder(*query));
+        let mut reached: Vec<_> = queries.map(|query| query % ticks).collect();
+        reached.sort_unstable();
+        reached.dedup();
+        assert_eq!(reached.len(), ticks);
     }
-    // An instance counts as deaf after 450 ms without an answer.
+    // An instance counts as unreachable after 450 ms without an answer.
     let gap = |from: usize| (from..from + 3).any(queries_last_responder);
-    assert!((0..30).all(gap), "whoever answered last is asked every 300 ms");
+    assert!((0..30).all(gap), "the last responder is queried every 300 ms");
 }
--- a/tests/testsuite/gateway/size_fairness.rs
+++ b/tests/testsuite/gateway/size_fairness.rs
@@ -1,4 +1,5 @@
-//! Whether a request is sent or refused depends on the wait that others cause, not on its size.
+//! Whether a request is sent or refused depends on the wait that other requests cause, not on its
+//! size.
 
 use cinderspoke_core::gateway::call::Size;
 use cinderspoke_core::gateway::catalog::Engine;
@@ -34,32 +35,32 @@
     }
 }
 
-/// What others have at an engine, from half of what it does at once to three times as much.
+/// Load of an engine by other requests, from half of its slots to three times as many.
 fn estimates() -> impl Strategy<Value = Estimate> {
     (0.5..3.0_f64, 0.0..1.0_f64, 100.0..3000.0_f64, 1.0..6.0_f64).prop_map(
-        |(load, waiting, prompt, pace)| {
+        |(load, waiting, prompt, slowdown)| {
             let requests = (load * f64::from(engine().slots)).floor();
             let waiting = (requests * waiting).floor();
-            Estimate { requests, waiting, unread: waiting * prompt, slowdown: pace }
+            Estimate { requests, waiting, unread: waiting * prompt, slowdown }
         },
     )
 }
 
-/// What callers ask but for the size: first attempts and later ones.
-fn wishes() -> impl Strategy<Value = Requirements> {
+/// The requirements of requests apart from their size: first attempts and retries.
+fn any_requirements() -> impl Strategy<Value = Requirements> {
     let waited = (any::<bool>(), 0..4000_u64);
     (100..1000_u64, waited, 0.0..300.0_f64, any::<u64>(), any::<bool>()).prop_map(
-        |(aim, (returns, waited), rivals, spread, sent)| {
-            let waited = if returns { waited } else { 0 };
+        |(ttft_target, (is_retry, waited), competing_rate, seed, sent_before)| {
+            let waited = if is_retry { waited } else { 0 };
             Requirements {
-                ttft_target: ms(aim),
-                target_left: ms(aim.saturating_sub(waited)),
+                ttft_target: ms(ttft_target),
+                target_left: ms(ttft_target.saturating_sub(waited)),
                 time_left: ms(6000 - waited),
-                sent_before: sent,
+                sent_before,
                 weights_missing: false,
                 backoff_left: None,
-                competing_rate: rivals,
-                seed: spread,
+                competing_rate,
+                seed,
             }
         },
     )
@@ -82,37 +83,37 @@
     estimates.iter().enumerate().map(candidate).collect()
 }
 
-/// Whether a request is sent by what reports say.
-fn is_sent(wish: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
+/// Whether a request is sent, by reports alone.
+fn is_sent(requirements: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
     let candidates = candidates(estimates, prompt, Agent::None);
-    matches!(pick(wish, &candidates), Choice::Send { .. })
+    matches!(pick(requirements, &candidates), Choice::Send { .. })
 }
 
-/// Whether a request is sent by what agents answer.
-fn is_sent_by_answers(wish: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
+/// Whether a request is sent, by the answers of agents to queries.
+fn is_sent_by_answers(requirements: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
     let mut candidates = candidates(estimates, prompt, Agent::Queryable);
-    let mut search = Selection::default();
+    let mut selection = Selection::default();
     loop {
-        match search.next(wish, &candidates) {
-            Step::Query(asked) => {
-                asked.iter().for_each(|number| candidates[*number].agent = Agent::Answered);
+        match selection.next(requirements, &candidates) {
+            Step::Query(queried) => {
+                queried.iter().for_each(|number| candidates[*number].agent = Agent::Answered);
             }
             Step::Done(choice) => return matches!(choice, Choice::Send { .. }),
         }
     }
 }
 
-/// Whether a request can begin before its caller needs no answer any more, wherever it is sent
-/// and whatever other gateways send there meanwhile.
-fn can_begin(wish: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
+/// Whether a request can have its first token before its deadline, wherever it is sent and whatever
+/// other gateways send there meanwhile.
+fn can_begin(requirements: &Requirements, estimates: &[Estimate], prompt: u32) -> bool {
     let candidates = candidates(estimates, prompt, Agent::None);
     let meanwhile = |candidate: &Candidate| {
-        candidate.service_time.mul_f64(wish.competing_rate * candidate.age.as_secs_f64())
+        candidate.service_time.mul_f64(requirements.competing_rate * candidate.age.as_secs_f64())
     };
-    candidates.iter().all(|it| it.forecast.ttft() + meanwhile(it) <= wish.time_left)
+    candidates.iter().all(|it| it.forecast.ttft() + meanwhile(it) <= requirements.time_left)
 }
 
-/// The same cases each time, and no file of those that failed.
+/// The same cases in each run, without a file of failed cases.
 fn configuration() -> ProptestConfig {
     ProptestConfig {
         cases: 4000,
@@ -126,19 +127,19 @@
 proptest! {
     #![proptest_config(configuration())]
 
-    // With the same wait caused by others, a long prompt is refused where a short one is sent,
-    // although its caller waits long enough for it.
+    // Guards against a long prompt that is refused where a short one is sent, although other
+    // requests cause the same wait for both and its deadline is late enough.
     #[test]
     fn no_request_is_refused_for_its_size(
-        wish in wishes(),
+        requirements in any_requirements(),
         estimates in vec(estimates(), 1..8),
         prompts in (40..4000_u32, 40..4000_u32),
     ) {
         let (short, long) = (prompts.0.min(prompts.1), prompts.0.max(prompts.1));
-        prop_assume!(can_begin(&wish, &estimates, long));
-        let sent = |prompt| is_sent(&wish, &estimates, prompt);
+        prop_assume!(can_begin(&requirements, &estimates, long));
+        let sent = |prompt| is_sent(&requirements, &estimates, prompt);
         prop_assert!(sent(short) == sent(long), "by reports");
-        let sent = |prompt| is_sent_by_answers(&wish, &estimates, prompt);
+        let sent = |prompt| is_sent_by_answers(&requirements, &estimates, prompt);
         prop_assert!(sent(short) == sent(long), "by answers");
     }
 }
--- a/tests/testsuite/gateway/tally.rs
+++ b/tests/testsuite/gateway/tally.rs
@@ -1,4 +1,4 @@
-//! What gateways have outstanding, added up beside an endpoint.
+//! The sum of the outstanding requests of all gateways, kept by an endpoint's agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_gateway_is_told_what_the_others_have() {
+fn each_gateway_gets_the_sum_of_the_others() {
     let mut tally = Tally::default();
     tally.apply(gateway(1), outstanding(3, 1), ms(10), ms(100));
     tally.apply(gateway(2), outstanding(2, 2), ms(10), ms(100));
@@ -30,21 +30,21 @@
 }
 
 #[test]
-fn what_was_overtaken_on_the_way_is_not_believed() {
+fn counts_that_arrive_out_of_order_are_ignored() {
     let mut tally = Tally::default();
     tally.apply(gateway(1), outstanding(0, 0), ms(20), ms(100));
     tally.apply(gateway(1), outstanding(4, 4), ms(10), ms(101));
     assert_eq!(others(&tally, gateway(2), ms(102)), outstanding(0, 0));
 }
 
-// A gateway that was killed leaves requests behind that nobody tells to have ended.
+// A gateway that was killed never reports the end of its requests.
 #[test]
-fn what_a_silent_gateway_told_is_forgotten() {
+fn the_counts_of_a_silent_gateway_expire() {
     let mut tally = Tally::default();
     tally.apply(gateway(1), outstanding(4, 4), ms(50_000), ms(100));
-    assert_eq!(others(&tally, gateway(2), ms(1000)), outstanding(4, 4), "repeats may be lost");
+    assert_eq!(others(&tally, gateway(2), ms(1000)), outstanding(4, 4), "repetitions may be lost");
     assert_eq!(others(&tally, gateway(2), ms(2000)), outstanding(0, 0));
-    // The process that follows has a clock of its own.
+    // The next process has a clock of its own.
     tally.apply(gateway(1), outstanding(1, 1), ms(0), ms(2100));
     assert_eq!(others(&tally, gateway(2), ms(2100)), outstanding(1, 1));
 }
