--- a/tests/testsuite/gateway/overload/engine.rs
+++ b/tests/testsuite/gateway/overload/engine.rs
@@ -1,5 +1,5 @@
-//! An engine that works in passes, as engines do in the field: in each, prompts that have a
-//! slot are read, and every running request writes some tokens.
+//! A model of an engine with continuous batching. In each pass it reads the prompts that have got
+//! a slot, and every running request writes some tokens.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 pub(crate) const PROMPT: f64 = 900.0;
 pub(crate) const ANSWER: f64 = 120.0;
 
-/// What engines of so many slots are declared to be.
+/// The declaration of an engine with `slots` slots.
 pub(crate) fn declared(slots: usize) -> catalog::Engine {
     catalog::Engine {
         slots: slots as u32,
@@ -36,8 +36,8 @@
     }
 }
 
-/// What an engine can end in a second: each request takes its prompt's reading and its part
-/// of the steps.
+/// Requests per second that an engine can complete: each takes the prefill of its prompt and its
+/// share of the decode steps.
 pub(crate) fn capacity(slots: usize) -> f64 {
     1000.0 / (PROMPT / READ_PER_MS + ANSWER * STEP_MS / slots as f64)
 }
@@ -47,45 +47,46 @@
     pub(crate) caller: usize,
     pub(crate) gateway: usize,
     pub(crate) number: u64,
-    /// The tokens of its prompt, and those of its answer that are not written yet.
+    /// The tokens of its prompt.
     pub(crate) prompt: f64,
+    /// The tokens of its answer that are not written yet.
     pub(crate) left: f64,
 }
 
-/// An engine.
+/// An engine with its waiting and running requests.
 pub(crate) struct Engine {
     slots: usize,
-    // How much slower than declared it is.
-    pace: f64,
+    // Ratio of its actual to its declared processing time.
+    slowdown: f64,
     waiting: VecDeque<Job>,
     running: Vec<Job>,
-    // How many of those that wait are read in the pass; none between two passes.
+    // Number of waiting requests whose prompts are read in the pass; `None` between two passes.
     read: Option<usize>,
 }
 
-/// What an engine's pass brought.
+/// The result of an engine's pass.
 pub(crate) struct Passed {
-    /// Callers, gateways and numbers of the requests that have their first token.
+    /// Callers, gateways and numbers of the requests that have got their first token.
     pub(crate) begun: Vec<(usize, usize, u64)>,
     /// Gateways and numbers of those that have ended.
     pub(crate) ended: Vec<(usize, u64)>,
 }
 
 impl Engine {
-    pub(crate) fn new(slots: usize, pace: f64) -> Self {
-        Self { slots, pace, waiting: VecDeque::new(), running: Vec::new(), read: None }
+    pub(crate) fn new(slots: usize, slowdown: f64) -> Self {
+        Self { slots, slowdown, waiting: VecDeque::new(), running: Vec::new(), read: None }
     }
 
     pub(crate) fn push(&mut self, job: Job) {
         self.waiting.push_back(job);
     }
 
-    /// Requests that have a slot, or could.
+    /// Number of requests that have a slot or can get one.
     pub(crate) fn busy(&self) -> usize {
         (self.running.len() + self.waiting.len()).min(self.slots)
     }
 
-    /// Begins a pass where none is under way and there is work; gives how long it takes.
+    /// Begins a pass if none is in progress and there is work; returns its duration.
     pub(crate) fn begin(&mut self) -> Option<Duration> {
         if self.read.is_some() {
             return None;
@@ -93,7 +94,7 @@
         let read = self.waiting.len().min(self.slots - self.running.len());
         let reading: f64 = self.waiting.iter().take(read).map(|job| job.prompt / READ_PER_MS).sum();
         let writing = if self.running.is_empty() { 0.0 } else { STRIDE * STEP_MS };
-        let takes = (reading + writing) * self.pace;
+        let takes = (reading + writing) * self.slowdown;
         (takes > 0.0).then(|| {
             self.read = Some(read);
             Duration::from_secs_f64(takes / 1000.0)
--- a/tests/testsuite/gateway/overload/event.rs
+++ b/tests/testsuite/gateway/overload/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a fleet, in the order of time.
+//! The events of the simulation, in the order of time.
 
 use std::time::Duration;
 
@@ -7,21 +7,37 @@
 
 use super::engine::Job;
 
-/// Something that happens at a time.
+/// An event.
 pub(crate) enum Event {
+    /// A caller sends its request to a gateway.
     Attempt(usize),
+    /// A request arrives at an engine.
     Arrive { engine: usize, job: Job },
+    /// An engine ends a pass.
     PassEnds(usize),
-    Look { engine: usize, tick: usize },
-    Report { gateway: usize, engine: usize, report: Report, told: Duration },
-    Tell { gateway: usize, engine: usize },
-    Told { gateway: usize, engine: usize, outstanding: Outstanding, at: Duration, before: Duration },
-    Ask { seeker: usize, engine: usize, at: Duration },
-    Answer { seeker: usize, engine: usize, report: Report, told: Duration },
-    Patience { seeker: usize, round: usize },
+    /// An engine's agent polls the engine and reports to gateways.
+    Poll { engine: usize, tick: usize },
+    /// A report arrives at a gateway.
+    Report { gateway: usize, engine: usize, report: Report, sent: Duration },
+    /// A gateway sends its outstanding requests to an agent.
+    SendOutstanding { gateway: usize, engine: usize },
+    /// The outstanding requests of a gateway arrive at an agent.
+    Outstanding {
+        gateway: usize,
+        engine: usize,
+        outstanding: Outstanding,
+        at: Duration,
+        before: Duration,
+    },
+    /// A query arrives at an agent.
+    Query { selecting: usize, engine: usize, at: Duration },
+    /// The answer to a query arrives at the gateway.
+    Answer { selecting: usize, engine: usize, report: Report, sent: Duration },
+    /// A gateway stops waiting for the answers of a round of queries.
+    QueryTimeout { selecting: usize, round: usize },
 }
 
-/// An event, when it is due, and its number among those due at the same time.
+/// An event with its time and a number that orders events of the same time.
 pub(crate) struct Due(pub(crate) Duration, pub(crate) u64, pub(crate) Event);
 
 impl PartialEq for Due {
--- a/tests/testsuite/gateway/overload/figures.rs
+++ b/tests/testsuite/gateway/overload/figures.rs
@@ -1,10 +1,10 @@
-//! What became of callers' requests, one by one and added up.
+//! The outcomes of callers' requests, and their aggregates.
 
 use std::time::Duration;
 
 use super::engine::PROMPT;
 
-/// What became of a caller's request.
+/// The outcome of a caller's request.
 pub(crate) struct Outcome {
     pub(crate) kind: usize,
     pub(crate) prompt: f64,
@@ -12,20 +12,22 @@
     pub(crate) is_in_time: bool,
 }
 
-/// What the prompts of the largest tenth have at least, where all sizes are as frequent.
+/// The smallest prompt of the largest tenth, in tokens, if sizes are distributed uniformly.
 const LARGE: f64 = 2.0 * PROMPT - 100.0 - (2.0 * PROMPT - 200.0) / 10.0;
 
-/// What was served in time: the share of those who asked, that of the largest tenth of
-/// prompts, and so many a second.
+/// What was answered in time.
 #[derive(Debug)]
 pub(crate) struct Figures {
+    /// The fraction of all requests.
     pub(crate) share: f64,
+    /// The fraction of the requests with the largest tenth of prompts.
     pub(crate) large: f64,
+    /// Requests per second.
     pub(crate) goodput: f64,
 }
 
 impl Figures {
-    /// Adds up the requests of so long a time.
+    /// Aggregates the requests of a period.
     pub(crate) fn new(outcomes: &[Outcome], time: Duration) -> Self {
         let count = |large: f64, is_counted: fn(&Outcome) -> bool| {
             let of_size = outcomes.iter().filter(|outcome| outcome.prompt >= large);
--- a/tests/testsuite/gateway/overload/fleet.rs
+++ b/tests/testsuite/gateway/overload/fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet, what goes wrong in it, and how requests are sent.
+//! The parameters of the simulation: the fleet, its faults, and how requests are sent.
 
-/// A fleet: how many gateways send to how many engines, and how many slots each has.
+/// A fleet of gateways that send to engines with `slots` slots each.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fleet {
     pub(crate) gateways: usize,
@@ -8,38 +8,39 @@
     pub(crate) slots: usize,
 }
 
-/// What goes wrong in it.
+/// The faults of a fleet.
 #[derive(Clone, Copy, Default, Debug)]
 pub(crate) struct Faults {
-    /// The part of datagrams that are lost.
+    /// The fraction of datagrams that are lost.
     pub(crate) loss: f64,
-    /// So many gateways are heard by no agent.
+    /// Number of gateways whose datagrams reach no agent.
     pub(crate) unheard: usize,
-    /// So many engines have no agent.
+    /// Number of engines without an agent.
     pub(crate) alone: usize,
     /// Every fourth gateway gets four times the requests of the others.
     pub(crate) uneven: bool,
-    /// Every so many engines one is slow, and by how much; none where it is zero.
+    /// The interval between slow engines and their slowdown; no engine is slow if the interval is
+    /// zero.
     pub(crate) slow: (usize, f64),
 }
 
 impl Faults {
-    /// How much slower than declared an engine is.
-    pub(crate) fn pace(&self, engine: usize) -> f64 {
-        let (every, pace) = self.slow;
-        if every > 0 && engine.is_multiple_of(every) { pace } else { 1.0 }
+    /// Ratio of an engine's actual to its declared processing time.
+    pub(crate) fn slowdown(&self, engine: usize) -> f64 {
+        let (every, slowdown) = self.slow;
+        if every > 0 && engine.is_multiple_of(every) { slowdown } else { 1.0 }
     }
 }
 
 /// How requests are sent.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum Rule {
-    /// As the gateway decides: agents are asked under load.
-    Ours,
-    /// By reports alone.
+    /// As the gateway decides: agents are queried under load.
+    Gateway,
+    /// By reports alone, without queries.
     Reports,
-    /// Everybody to any engine.
-    Anyone,
-    /// Everybody, to the engine that should begin first.
-    Everybody,
+    /// All requests, each to a random engine.
+    Random,
+    /// All requests, each to the engine with the lowest forecast time to first token.
+    AdmitAll,
 }
--- a/tests/testsuite/gateway/overload/sizes.rs
+++ b/tests/testsuite/gateway/overload/sizes.rs
@@ -1,16 +1,15 @@
-//! More demand than engines can serve, with few long prompts among many short ones: who is
-//! served by size.
+//! Overload with few long prompts among many short ones: the shares that are served by size.
 
 use super::figures::Outcome;
 use super::fleet::{Faults, Fleet, Rule};
 use super::work::Work;
 use super::world::World;
-use super::{GROWN, LOADS, LOSSY, SMALL, WISHED, oracle};
+use super::{GROWN, LOADS, LOSSY, REQUIRED, SMALL, oracle};
 
-/// Half of the engines are slow, some of them so much that a long prompt takes most of the aim.
+/// Half of the engines are so slow that a long prompt takes most of the target.
 const SLOW: Faults = Faults { slow: (2, 3.0), ..LOSSY };
 
-/// What is served of a part of a kind's requests.
+/// The shares of a kind's requests that satisfy a condition.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Shares {
     /// Of all of them.
@@ -22,7 +21,7 @@
 }
 
 impl Shares {
-    /// Of the requests of a kind.
+    /// The shares of the requests of a kind for which `is_good` holds.
     fn new(outcomes: &[Outcome], kind: usize, is_good: fn(&Outcome) -> bool) -> Self {
         let mut kind: Vec<_> = outcomes.iter().filter(|outcome| outcome.kind == kind).collect();
         kind.sort_by(|one, other| one.prompt.total_cmp(&other.prompt));
@@ -36,20 +35,21 @@
     }
 }
 
-/// How many fleets are played, each with random numbers of its own.
-const PLAYS: u64 = 3;
+/// Number of runs, each with its own seed.
+const RUNS: u64 = 3;
 
 fn play(fleet: Fleet, faults: Faults, load: f64) -> Vec<Outcome> {
-    let world = |seed| World::new(fleet, Rule::Ours, faults).with_seed(seed);
+    let world = |seed| World::new(fleet, Rule::Gateway, faults).with_seed(seed);
     let outcomes = |seed| world(seed).with_work(Work::lognormal()).outcomes(load);
-    (0..PLAYS).flat_map(outcomes).collect()
+    (0..RUNS).flat_map(outcomes).collect()
 }
 
-/// How often the largest have to be served at least, of how often their whole kind is.
+/// Lower bound on the share of the largest prompts that is served, as a fraction of the share of
+/// their whole kind.
 const LEAST: f64 = 0.8;
 
-// Long prompts wait as long as short ones and are read for longer: held to the same time to a
-// first token they are refused first, and again whenever they come back.
+// Long prompts wait as long as short ones and have a longer prefill. If the same limit applied to
+// their time to first token, they would be refused first, and again at each retry.
 #[test]
 fn large_requests_are_served_about_as_often_as_others() {
     let mut missed = Vec::new();
@@ -68,8 +68,8 @@
     assert!(missed.is_empty(), "{missed:#?}");
 }
 
-// Long prompts that are served come late or take the time of several short ones: what all
-// together have in time is not to fall for it.
+// Long prompts that are served are late or take the engine time of several short ones. The share of
+// all requests that is answered in time must not fall because of that.
 #[test]
 fn most_of_what_an_oracle_serves_in_time_is_served_of_all_sizes() {
     for fleet in [SMALL, GROWN] {
@@ -77,7 +77,7 @@
             let outcomes = play(fleet, LOSSY, load);
             let in_time = outcomes.iter().filter(|outcome| outcome.is_in_time).count();
             let share = in_time as f64 / outcomes.len() as f64;
-            assert!(share >= WISHED * oracle(load), "{fleet:?} at {load}: {share:.3}");
+            assert!(share >= REQUIRED * oracle(load), "{fleet:?} at {load}: {share:.3}");
         }
     }
 }
--- a/tests/testsuite/gateway/overload/work.rs
+++ b/tests/testsuite/gateway/overload/work.rs
@@ -1,4 +1,4 @@
-//! What callers ask: kinds of requests, and the sizes of their prompts.
+//! The workload: kinds of requests, and the sizes of their prompts.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 /// A kind of requests.
 #[derive(Clone, Copy)]
 struct Kind {
-    // Its part of all requests.
-    part: f64,
-    aim: Duration,
+    // Its fraction of all requests.
+    fraction: f64,
+    ttft_target: Duration,
     sizes: Sizes,
 }
 
-/// How the tokens of prompts are spread.
+/// The distribution of the tokens of prompts.
 #[derive(Clone, Copy)]
 enum Sizes {
-    /// Evenly, up to twice the usual prompt.
+    /// Uniform, up to twice the usual prompt.
     Uniform,
-    /// Lognormally by a mean, with a deviation as large as the mean, up to a most.
+    /// Lognormal, with a standard deviation equal to the mean, truncated at `most`.
     Lognormal { mean: f64, most: f64 },
 }
 
 impl Sizes {
-    fn draw(self, random: &mut ChaCha8Rng) -> f64 {
+    fn sample(self, random: &mut ChaCha8Rng) -> f64 {
         match self {
             Self::Uniform => random.random_range(100.0..2.0 * PROMPT - 100.0),
             Self::Lognormal { mean, most } => {
@@ -39,28 +39,31 @@
     }
 }
 
-/// A normal deviate, by Box and Muller.
+/// A standard normal deviate, by the Box-Muller transform.
 fn normal(random: &mut ChaCha8Rng) -> f64 {
     let radius = (-2.0 * random.random_range(1e-12..1.0_f64).ln()).sqrt();
     radius * (std::f64::consts::TAU * random.random_range(0.0..1.0_f64)).cos()
 }
 
-/// What callers ask.
+/// The workload of callers.
 #[derive(Clone)]
 pub(crate) struct Work {
     kinds: Vec<Kind>,
 }
 
 impl Work {
-    /// One kind, with prompts of all sizes alike.
+    /// One kind, with uniformly distributed prompts.
     pub(crate) fn uniform() -> Self {
-        Self { kinds: vec![Kind { part: 1.0, aim: ms(400), sizes: Sizes::Uniform }] }
+        Self { kinds: vec![Kind { fraction: 1.0, ttft_target: ms(400), sizes: Sizes::Uniform }] }
     }
 
     /// Three kinds with many short prompts and few long ones.
     pub(crate) fn lognormal() -> Self {
-        let kind =
-            |part, aim, mean, most| Kind { part, aim, sizes: Sizes::Lognormal { mean, most } };
+        let kind = |fraction, ttft_target, mean, most| Kind {
+            fraction,
+            ttft_target,
+            sizes: Sizes::Lognormal { mean, most },
+        };
         let kinds = [
             kind(0.41, ms(500), 1290.0, 3880.0),
             kind(0.31, ms(400), 787.0, 3330.0),
@@ -69,29 +72,29 @@
         Self { kinds: kinds.into() }
     }
 
-    /// How many kinds there are.
+    /// Number of kinds.
     pub(crate) fn kinds(&self) -> usize {
         self.kinds.len()
     }
 
-    /// The time to a first token that a kind's requests are worth their full price for.
-    pub(crate) fn aim(&self, kind: usize) -> Duration {
-        self.kinds[kind].aim
+    /// Target of the time to first token of a kind's requests.
+    pub(crate) fn ttft_target(&self, kind: usize) -> Duration {
+        self.kinds[kind].ttft_target
     }
 
-    /// One request: its kind, and the tokens of its prompt.
-    pub(crate) fn draw(&self, random: &mut ChaCha8Rng) -> (usize, f64) {
-        let kind = self.draw_kind(random);
-        (kind, self.kinds[kind].sizes.draw(random))
+    /// Samples one request: its kind, and the tokens of its prompt.
+    pub(crate) fn sample(&self, random: &mut ChaCha8Rng) -> (usize, f64) {
+        let kind = self.sample_kind(random);
+        (kind, self.kinds[kind].sizes.sample(random))
     }
 
-    fn draw_kind(&self, random: &mut ChaCha8Rng) -> usize {
+    fn sample_kind(&self, random: &mut ChaCha8Rng) -> usize {
         if self.kinds.len() == 1 {
             return 0;
         }
         let mut left = random.random_range(0.0..1.0_f64);
         let found = self.kinds.iter().position(|kind| {
-            left -= kind.part;
+            left -= kind.fraction;
             left < 0.0
         });
         found.unwrap_or(self.kinds.len() - 1)
--- a/tests/testsuite/gateway/overload/world.rs
+++ b/tests/testsuite/gateway/overload/world.rs
@@ -1,5 +1,5 @@
-//! A fleet of gateways and engines, the datagrams between them, and callers who come back
-//! once when they are refused.
+//! The simulated fleet of gateways and engines, the datagrams between them, and callers that retry
+//! once if they are refused.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -26,44 +26,47 @@
 use super::work::Work;
 
 const DEADLINE: Duration = ms(6000);
-/// How often an engine's agent looks, and tells the gateways whose turn it is.
-const REPORTS: Duration = ms(100);
-/// How long a gateway gathers changes before it tells an agent of them.
-const GATHER: Duration = ms(10);
+/// Interval at which an agent polls its engine and reports to the scheduled gateways.
+const REPORT_INTERVAL: Duration = ms(100);
+/// How long a gateway collects changes before it sends them to an agent.
+const BATCH_DELAY: Duration = ms(10);
 /// How long a gateway waits for agents' answers.
-const PATIENCE: Duration = ms(25);
-/// How long a datagram is on its way in an availability zone, and to another region.
+const QUERY_TIMEOUT: Duration = ms(25);
+/// Latency within an availability zone.
 const NEAR: Duration = Duration::from_micros(400);
+/// Latency to another region.
 const FAR: Duration = ms(3);
 const ZONES: usize = 3;
-/// How long a run lasts, and how long its beginning and end are not counted.
+/// Simulated time of a run.
 const LENGTH: Duration = Duration::from_secs(20);
+/// Initial part of a run that does not count.
 const WARM_UP: Duration = Duration::from_secs(4);
 
 /// A caller's request, from its first attempt on.
 struct Caller {
-    // Its kind's place among those of the work.
+    // The index of its kind in the workload.
     kind: usize,
-    asked: Duration,
+    arrived: Duration,
     prompt: f64,
     answer: f64,
-    begun: Option<Duration>,
+    first_token: Option<Duration>,
 }
 
-/// A request that a gateway looks for a place for.
-struct Seeker {
+/// A request for which a gateway selects an endpoint.
+struct Selecting {
     caller: usize,
     gateway: usize,
-    search: Selection,
-    spread: u64,
-    // The endpoints whose agents were asked last, and how many have not answered.
-    asked: Vec<usize>,
+    selection: Selection,
+    seed: u64,
+    // The endpoints whose agents were queried last, and how many have not answered.
+    queried: Vec<usize>,
     missing: usize,
     round: usize,
-    // All questions that are not decided on: endpoint and number.
-    open: Vec<(usize, u64)>,
+    // All queries that are not decided on: endpoint and number.
+    pending: Vec<(usize, u64)>,
 }
 
+/// The state of the simulation.
 pub(crate) struct World {
     random: ChaCha8Rng,
     fleet: Fleet,
@@ -72,17 +75,17 @@
     work: Work,
     now: Duration,
     due: BinaryHeap<Reverse<Due>>,
-    // Numbers events, requests and questions.
+    // The last number of an event, request or query.
     numbers: u64,
     engines: Vec<Engine>,
     tallies: Vec<Tally>,
     reservations: Vec<Table>,
     loads: Vec<Vec<Load>>,
-    // Where a gateway has news that it gathers for an agent.
-    untold: Vec<Vec<bool>>,
+    // Whether a gateway has changes to send to an agent, by gateway and engine.
+    has_changes: Vec<Vec<bool>>,
     demands: Vec<Demand>,
     callers: Vec<Caller>,
-    seekers: Vec<Seeker>,
+    selecting: Vec<Selecting>,
 }
 
 fn address(gateway: usize) -> SocketAddr {
@@ -102,39 +105,41 @@
             now: Duration::ZERO,
             due: BinaryHeap::new(),
             numbers: 0,
-            engines: (0..engines).map(|number| Engine::new(slots, faults.pace(number))).collect(),
+            engines: (0..engines)
+                .map(|number| Engine::new(slots, faults.slowdown(number)))
+                .collect(),
             tallies: (0..engines).map(|_| Tally::default()).collect(),
             reservations: (0..engines).map(|_| Table::default()).collect(),
             loads: (0..gateways).map(|_| loads()).collect(),
-            untold: vec![vec![false; engines]; gateways],
+            has_changes: vec![vec![false; engines]; gateways],
             demands: vec![Demand::default(); gateways],
             callers: Vec::new(),
-            seekers: Vec::new(),
+            selecting: Vec::new(),
         }
     }
 
-    /// The same fleet with other work.
+    /// The same fleet with another workload.
     pub(crate) fn with_work(self, work: Work) -> Self {
         Self { work, ..self }
     }
 
-    /// The same fleet with other random numbers.
+    /// The same fleet with another seed.
     pub(crate) fn with_seed(self, seed: u64) -> Self {
         Self { random: ChaCha8Rng::seed_from_u64(seed), ..self }
     }
 
-    /// Plays a load, as a part of what the engines can do.
+    /// Simulates a load, given as a fraction of the engines' capacity.
     pub(crate) fn play(self, load: f64) -> Figures {
         Figures::new(&self.outcomes(load), LENGTH - WARM_UP - DEADLINE)
     }
 
-    /// Plays a load; gives what became of the requests that count, each with its kind.
+    /// Simulates a load; returns the outcomes of the requests that count.
     pub(crate) fn outcomes(mut self, load: f64) -> Vec<Outcome> {
         self.run(load);
         let outcome = |caller: &Caller| Outcome {
             kind: caller.kind,
             prompt: caller.prompt,
-            is_served: caller.begun.is_some(),
+            is_served: caller.first_token.is_some(),
             is_in_time: self.is_in_time(caller),
         };
         self.callers.iter().filter(|caller| counts(caller)).map(outcome).collect()
@@ -143,15 +148,15 @@
     fn run(&mut self, load: f64) {
         self.arrivals(load);
         for engine in self.faults.alone..self.fleet.engines {
-            let phase = REPORTS * engine as u32 / self.fleet.engines as u32;
-            self.push(phase, Event::Look { engine, tick: 0 });
+            let phase = REPORT_INTERVAL * engine as u32 / self.fleet.engines as u32;
+            self.push(phase, Event::Poll { engine, tick: 0 });
         }
         while let Some(Reverse(Due(at, _, event))) = self.due.pop() {
             if at > LENGTH {
                 break;
             }
             self.now = at;
-            self.happen(event);
+            self.handle(event);
         }
     }
 
@@ -161,9 +166,9 @@
         while at < LENGTH {
             let gap = -self.random.random_range(1e-12..1.0_f64).ln() / rate;
             at += Duration::from_secs_f64(gap);
-            let (kind, prompt) = self.work.draw(&mut self.random);
+            let (kind, prompt) = self.work.sample(&mut self.random);
             let answer = self.random.random_range(20.0..2.0 * ANSWER - 20.0);
-            self.callers.push(Caller { kind, asked: at, prompt, answer, begun: None });
+            self.callers.push(Caller { kind, arrived: at, prompt, answer, first_token: None });
             self.push(at, Event::Attempt(self.callers.len() - 1));
         }
     }
@@ -180,16 +185,16 @@
 
     /// A datagram between a gateway and the agent of an engine.
     fn send_datagram(&mut self, gateway: usize, engine: usize, event: Event) {
-        let to_agent = matches!(event, Event::Told { .. } | Event::Ask { .. });
-        let unheard = to_agent && gateway < self.faults.unheard;
-        let alone = engine < self.faults.alone;
-        if unheard || alone || self.random.random_bool(self.faults.loss) {
+        let to_agent = matches!(event, Event::Outstanding { .. } | Event::Query { .. });
+        let is_cut_off = to_agent && gateway < self.faults.unheard;
+        let has_no_agent = engine < self.faults.alone;
+        if is_cut_off || has_no_agent || self.random.random_bool(self.faults.loss) {
             return;
         }
-        self.push(self.now + way(gateway, engine), event);
+        self.push(self.now + latency(gateway, engine), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Attempt(caller) => self.attempt(caller),
             Event::Arrive { engine, job } => {
@@ -197,55 +202,56 @@
                 self.begin_pass(engine);
             }
             Event::PassEnds(engine) => self.end_pass(engine),
-            Event::Look { engine, tick } => self.look(engine, tick),
-            Event::Report { gateway, engine, report, told } => {
-                self.loads[gateway][engine].apply_report(report, told, self.now);
+            Event::Poll { engine, tick } => self.poll(engine, tick),
+            Event::Report { gateway, engine, report, sent } => {
+                self.loads[gateway][engine].apply_report(report, sent, self.now);
             }
-            Event::Tell { gateway, engine } => self.tell(gateway, engine),
-            Event::Told { gateway, engine, outstanding, at, before } => {
+            Event::SendOutstanding { gateway, engine } => self.send_outstanding(gateway, engine),
+            Event::Outstanding { gateway, engine, outstanding, at, before } => {
                 self.tallies[engine].apply(address(gateway), outstanding, at, self.now);
                 self.reservations[engine].release_before(address(gateway), before);
             }
-            Event::Ask { seeker, engine, at } => self.answer(seeker, engine, at),
-            Event::Answer { seeker, engine, report, told } => {
-                self.take_answer(seeker, engine, report, told);
+            Event::Query { selecting, engine, at } => self.answer(selecting, engine, at),
+            Event::Answer { selecting, engine, report, sent } => {
+                self.apply_answer(selecting, engine, report, sent);
             }
-            Event::Patience { seeker, round } => {
-                if self.seekers[seeker].round == round && self.seekers[seeker].missing > 0 {
-                    self.seekers[seeker].missing = 0;
-                    self.seek(seeker);
+            Event::QueryTimeout { selecting, round } => {
+                if self.selecting[selecting].round == round && self.selecting[selecting].missing > 0
+                {
+                    self.selecting[selecting].missing = 0;
+                    self.select(selecting);
                 }
             }
         }
     }
 
-    /// One attempt of a caller at any gateway.
+    /// One attempt of a caller, at a random gateway.
     fn attempt(&mut self, caller: usize) {
         let gateway = self.gateway();
         self.demands[gateway].record_arrival(self.now);
-        let spread = self.random.random();
+        let seed = self.random.random();
         match self.rule {
-            Rule::Ours => {
-                self.seekers.push(Seeker {
+            Rule::Gateway => {
+                self.selecting.push(Selecting {
                     caller,
                     gateway,
-                    search: Selection::default(),
-                    spread,
-                    asked: Vec::new(),
+                    selection: Selection::default(),
+                    seed,
+                    queried: Vec::new(),
                     missing: 0,
                     round: 0,
-                    open: Vec::new(),
+                    pending: Vec::new(),
                 });
-                self.seek(self.seekers.len() - 1);
+                self.select(self.selecting.len() - 1);
             }
-            Rule::Reports | Rule::Everybody => {
-                let wish = self.wish(gateway, caller, spread);
-                let choice = pick(&wish, &self.candidates(gateway, caller));
-                self.follow(caller, gateway, choice);
+            Rule::Reports | Rule::AdmitAll => {
+                let requirements = self.requirements(gateway, caller, seed);
+                let choice = pick(&requirements, &self.candidates(gateway, caller));
+                self.apply_choice(caller, gateway, choice);
             }
-            Rule::Anyone => {
+            Rule::Random => {
                 let number = self.random.random_range(0..self.fleet.engines);
-                self.follow(caller, gateway, Choice::Send { number, ttft: Duration::ZERO });
+                self.apply_choice(caller, gateway, Choice::Send { number, ttft: Duration::ZERO });
             }
         }
     }
@@ -258,72 +264,72 @@
         self.random.random_range(0..gateways)
     }
 
-    /// Goes on with a request's search for a place.
-    fn seek(&mut self, seeker: usize) {
-        let Seeker { caller, gateway, spread, .. } = self.seekers[seeker];
-        let wish = self.wish(gateway, caller, spread);
+    /// Takes the next step of a request's selection.
+    fn select(&mut self, selecting: usize) {
+        let Selecting { caller, gateway, seed, .. } = self.selecting[selecting];
+        let requirements = self.requirements(gateway, caller, seed);
         let candidates = self.candidates(gateway, caller);
-        match self.seekers[seeker].search.next(&wish, &candidates) {
-            Step::Query(engines) => self.ask(seeker, engines),
+        match self.selecting[selecting].selection.next(&requirements, &candidates) {
+            Step::Query(engines) => self.query(selecting, engines),
             Step::Done(choice) => {
-                for (engine, number) in std::mem::take(&mut self.seekers[seeker].open) {
+                for (engine, number) in std::mem::take(&mut self.selecting[selecting].pending) {
                     self.loads[gateway][engine].pending.resolve(number);
-                    self.gather(gateway, engine);
+                    self.schedule_outstanding(gateway, engine);
                 }
-                self.follow(caller, gateway, choice);
+                self.apply_choice(caller, gateway, choice);
             }
         }
     }
 
-    fn ask(&mut self, seeker: usize, engines: Vec<usize>) {
-        let (gateway, number) = (self.seekers[seeker].gateway, self.number());
-        let asking = &mut self.seekers[seeker];
-        asking.round += 1;
-        asking.missing = engines.len();
-        asking.asked.clone_from(&engines);
-        let round = asking.round;
+    fn query(&mut self, selecting: usize, engines: Vec<usize>) {
+        let (gateway, number) = (self.selecting[selecting].gateway, self.number());
+        let state = &mut self.selecting[selecting];
+        state.round += 1;
+        state.missing = engines.len();
+        state.queried.clone_from(&engines);
+        let round = state.round;
         for engine in engines {
-            self.seekers[seeker].open.push((engine, number));
+            self.selecting[selecting].pending.push((engine, number));
             self.loads[gateway][engine].pending.record_query(number, self.now);
-            let ask = Event::Ask { seeker, engine, at: self.now };
-            self.send_datagram(gateway, engine, ask);
+            let query = Event::Query { selecting, engine, at: self.now };
+            self.send_datagram(gateway, engine, query);
         }
-        self.push(self.now + PATIENCE, Event::Patience { seeker, round });
+        self.push(self.now + QUERY_TIMEOUT, Event::QueryTimeout { selecting, round });
     }
 
-    /// An agent tells a gateway that asks what its engine holds, and keeps it a place.
-    fn answer(&mut self, seeker: usize, engine: usize, at: Duration) {
-        let Seeker { caller, gateway, .. } = self.seekers[seeker];
+    /// An agent answers a query with the present load of its engine, and reserves capacity.
+    fn answer(&mut self, selecting: usize, engine: usize, at: Duration) {
+        let Selecting { caller, gateway, .. } = self.selecting[selecting];
         let report = self.report(engine, gateway);
         let prompt = self.callers[caller].prompt as u32;
         self.reservations[engine].reserve(address(gateway), at, prompt, self.now);
-        let answer = Event::Answer { seeker, engine, report, told: self.now };
+        let answer = Event::Answer { selecting, engine, report, sent: self.now };
         self.send_datagram(gateway, engine, answer);
     }
 
-    fn take_answer(&mut self, seeker: usize, engine: usize, report: Report, told: Duration) {
-        let load = &mut self.loads[self.seekers[seeker].gateway][engine];
-        load.apply_report(report, told, self.now);
+    fn apply_answer(&mut self, selecting: usize, engine: usize, report: Report, sent: Duration) {
+        let load = &mut self.loads[self.selecting[selecting].gateway][engine];
+        load.apply_report(report, sent, self.now);
         load.record_answer(self.now);
-        let asking = &mut self.seekers[seeker];
-        if asking.missing > 0 && asking.asked.contains(&engine) {
-            asking.missing -= 1;
-            if asking.missing == 0 {
-                self.seek(seeker);
+        let state = &mut self.selecting[selecting];
+        if state.missing > 0 && state.queried.contains(&engine) {
+            state.missing -= 1;
+            if state.missing == 0 {
+                self.select(selecting);
             }
         }
     }
 
-    /// What an agent tells a gateway.
+    /// The report of an agent to a gateway.
     fn report(&self, engine: usize, gateway: usize) -> Report {
         let (tally, reservations) = (&self.tallies[engine], &self.reservations[engine]);
-        let kept = reservations.others(address(gateway), self.now);
-        let others = tally.others(tally.total(self.now), address(gateway), self.now).plus(kept);
+        let reserved = reservations.others(address(gateway), self.now);
+        let others = tally.others(tally.total(self.now), address(gateway), self.now).plus(reserved);
         let running = self.engines[engine].busy() as u32;
         let version = Some(Version(1));
         Report {
             running,
-            slowdown: self.faults.pace(engine) as f32,
+            slowdown: self.faults.slowdown(engine) as f32,
             version,
             accepts_requests: true,
             others,
@@ -331,14 +337,14 @@
         }
     }
 
-    /// An engine's agent tells the gateways whose turn it is what it has.
-    fn look(&mut self, engine: usize, tick: usize) {
+    /// An agent polls its engine and reports to the scheduled gateways.
+    fn poll(&mut self, engine: usize, tick: usize) {
         for gateway in scheduled(self.fleet.gateways, tick) {
             let report = self.report(engine, gateway);
-            let report = Event::Report { gateway, engine, report, told: self.now };
+            let report = Event::Report { gateway, engine, report, sent: self.now };
             self.send_datagram(gateway, engine, report);
         }
-        self.push(self.now + REPORTS, Event::Look { engine, tick: tick + 1 });
+        self.push(self.now + REPORT_INTERVAL, Event::Poll { engine, tick: tick + 1 });
     }
 
     fn candidates(&self, gateway: usize, caller: usize) -> Vec<Candidate> {
@@ -368,33 +374,33 @@
         Size { prompt: self.callers[caller].prompt as u32, max_answer: 200, answer_hint: None }
     }
 
-    fn wish(&self, gateway: usize, caller: usize, spread: u64) -> Requirements {
-        let waited = self.now - self.callers[caller].asked;
+    fn requirements(&self, gateway: usize, caller: usize, seed: u64) -> Requirements {
+        let waited = self.now - self.callers[caller].arrived;
         let others = (self.fleet.gateways - 1) as f64;
-        let aim = self.aim(caller);
+        let ttft_target = self.ttft_target(caller);
         Requirements {
-            ttft_target: aim,
-            target_left: aim.saturating_sub(waited),
+            ttft_target,
+            target_left: ttft_target.saturating_sub(waited),
             time_left: DEADLINE.saturating_sub(waited),
-            sent_before: self.rule == Rule::Everybody,
+            sent_before: self.rule == Rule::AdmitAll,
             backoff_left: None,
             weights_missing: false,
             competing_rate: self.demands[gateway].per_second(self.now) * others,
-            seed: spread,
+            seed,
         }
     }
 
-    fn aim(&self, caller: usize) -> Duration {
-        self.work.aim(self.callers[caller].kind)
+    fn ttft_target(&self, caller: usize) -> Duration {
+        self.work.ttft_target(self.callers[caller].kind)
     }
 
-    fn follow(&mut self, caller: usize, gateway: usize, choice: Choice) {
+    fn apply_choice(&mut self, caller: usize, gateway: usize, choice: Choice) {
         match choice {
             Choice::Send { number, ttft: first } => self.send(caller, gateway, number, first),
             Choice::Refuse { retry_after: come_back, .. } => {
-                let waited = self.now - self.callers[caller].asked;
-                // Callers come back once; one that did has waited for longer than its aim.
-                if waited < self.aim(caller) {
+                let waited = self.now - self.callers[caller].arrived;
+                // Callers retry once; at its retry a caller has waited for longer than its target.
+                if waited < self.ttft_target(caller) {
                     let back = come_back.min((DEADLINE - waited) / 3);
                     self.push(self.now + back, Event::Attempt(caller));
                 }
@@ -407,24 +413,24 @@
         let Caller { prompt, answer, .. } = self.callers[caller];
         self.loads[gateway][engine].record_sent(number, prompt as u32, first, self.now);
         let job = Job { caller, gateway, number, prompt, left: answer };
-        self.push(self.now + way(gateway, engine), Event::Arrive { engine, job });
-        self.gather(gateway, engine);
+        self.push(self.now + latency(gateway, engine), Event::Arrive { engine, job });
+        self.schedule_outstanding(gateway, engine);
     }
 
-    /// The gateway is to tell the engine's agent what it has there.
-    fn gather(&mut self, gateway: usize, engine: usize) {
-        if !std::mem::replace(&mut self.untold[gateway][engine], true) {
-            self.push(self.now + GATHER, Event::Tell { gateway, engine });
+    /// Schedules that a gateway sends its outstanding requests to an engine's agent.
+    fn schedule_outstanding(&mut self, gateway: usize, engine: usize) {
+        if !std::mem::replace(&mut self.has_changes[gateway][engine], true) {
+            self.push(self.now + BATCH_DELAY, Event::SendOutstanding { gateway, engine });
         }
     }
 
-    fn tell(&mut self, gateway: usize, engine: usize) {
-        self.untold[gateway][engine] = false;
+    fn send_outstanding(&mut self, gateway: usize, engine: usize) {
+        self.has_changes[gateway][engine] = false;
         let load = &mut self.loads[gateway][engine];
         let (outstanding, at) = (load.outstanding(), self.now);
         let before = load.pending.resolved_before(at);
-        let told = Event::Told { gateway, engine, outstanding, at, before };
-        self.send_datagram(gateway, engine, told);
+        let event = Event::Outstanding { gateway, engine, outstanding, at, before };
+        self.send_datagram(gateway, engine, event);
     }
 
     fn begin_pass(&mut self, engine: usize) {
@@ -436,33 +442,34 @@
     fn end_pass(&mut self, engine: usize) {
         let passed = self.engines[engine].end();
         for (caller, gateway, number) in passed.begun {
-            self.callers[caller].begun = Some(self.now + way(gateway, engine));
+            self.callers[caller].first_token = Some(self.now + latency(gateway, engine));
             self.loads[gateway][engine].record_first_token(number);
-            self.gather(gateway, engine);
+            self.schedule_outstanding(gateway, engine);
         }
         for (gateway, number) in passed.ended {
             self.loads[gateway][engine].record_end(number);
-            self.gather(gateway, engine);
+            self.schedule_outstanding(gateway, engine);
         }
         self.begin_pass(engine);
     }
 
     fn is_in_time(&self, caller: &Caller) -> bool {
-        let aim = self.work.aim(caller.kind);
-        caller.begun.is_some_and(|at| at <= caller.asked + aim)
+        let ttft_target = self.work.ttft_target(caller.kind);
+        caller.first_token.is_some_and(|at| at <= caller.arrived + ttft_target)
     }
 }
 
-/// Whether a caller asked while the fleet was in its steady state.
+/// Whether a caller's first attempt was while the fleet was in its steady state.
 fn counts(caller: &Caller) -> bool {
-    caller.asked > WARM_UP && caller.asked < LENGTH - DEADLINE
+    caller.arrived > WARM_UP && caller.arrived < LENGTH - DEADLINE
 }
 
-/// Gateways and engines are dealt out to the availability zones by their numbers.
+/// The distance of an engine from a gateway; both are assigned to availability zones by their
+/// numbers.
 fn distance(gateway: usize, engine: usize) -> Distance {
     if gateway % ZONES == engine % ZONES { Distance::Zone } else { Distance::Far }
 }
 
-fn way(gateway: usize, engine: usize) -> Duration {
+fn latency(gateway: usize, engine: usize) -> Duration {
     if distance(gateway, engine) == Distance::Zone { NEAR } else { FAR }
 }
