--- a/src/bin/agent/main.rs
+++ b/src/bin/agent/main.rs
@@ -7,7 +7,7 @@
 use cinderspoke::agent::{Agent, Endpoint, Parts};
 use cinderspoke::endpoint::http::Endpoint as HttpEndpoint;
 use cinderspoke::ports::http::Weights;
-use cinderspoke::stager::{self, Stager};
+use cinderspoke::staging;
 use cinderspoke::util::http::Client;
 use cinderspoke::util::metrics;
 use cinderspoke::util::program::{
@@ -36,7 +36,7 @@
         let beside =
             settings.beside.as_ref().context("the settings contain no engine (`beside`)")?;
         let to_origin = client.clone();
-        let parts = stager::Parts {
+        let parts = staging::Parts {
             engine: Arc::new(LocalEngine::new(client.clone(), beside.address)),
             open_origin: Arc::new(move |address| {
                 Arc::new(RemoteOrigin::new(to_origin.clone(), address))
@@ -44,9 +44,9 @@
             client,
             metrics: Some(metrics::open()?),
         };
-        let stager = Stager::bind(&settings, parts).await?;
-        running.until_stop(|settings| stager.reload(settings)).await;
-        stager.stop();
+        let agent = staging::Agent::bind(&settings, parts).await?;
+        running.until_stop(|settings| agent.reload(settings)).await;
+        agent.stop();
         Ok(())
     })
 }
--- a/src/cinderspoke/lib.rs
+++ b/src/cinderspoke/lib.rs
@@ -8,7 +8,7 @@
 //!   and relays the configuration and the membership within its availability zone.
 //! - [`agent`]: the program on the instance of each endpoint. It exchanges chunks of weights with
 //!   peers, sends orders to its endpoint and forwards requests to it.
-//! - [`gateway`] and [`stager`]: the same two programs on a platform that stores
+//! - [`gateway`] and [`staging`]: the same two programs on a platform that stores
 //!   the configuration, the versions and the list of endpoints.
 //! - [`ops`]: the operator's commands.
 //! - [`ports`] and [`endpoint`]: the traits for external systems and their implementations.
@@ -19,7 +19,7 @@
 pub mod entry;
 pub mod gateway;
 pub mod ops;
-pub mod stager;
+pub mod staging;
 pub mod util;
 
 pub use cinderspoke_ports as ports;
--- a/src/cinderspoke/stager/bring.rs
+++ b/src/cinderspoke/staging/fetch.rs
@@ -37,7 +37,7 @@
 const CLOSED_IN_VAIN: Duration = Duration::from_millis(1500);
 
 /// Brings wanted versions into the engine.
-pub struct Bringer {
+pub struct Fetcher {
     reporter: Arc<Reporter>,
     plans: Arc<Plans>,
     engine: Arc<dyn Engine>,
@@ -46,7 +46,7 @@
     current: Mutex<Option<Digest>>,
 }
 
-impl Bringer {
+impl Fetcher {
     /// Brings what a collector collects into its engine.
     #[must_use]
     pub(super) fn new(reporter: Arc<Reporter>, collector: Collector) -> Self {
--- a/src/cinderspoke/stager/mod.rs
+++ b/src/cinderspoke/staging/mod.rs
@@ -4,13 +4,13 @@
 //!   gateways of it, and learns from them what is wanted.
 //! - [`plan`] is what gateways tell of the service, and the version wanted by it;
 //!   `reads` bounds how many copies of it are read at once.
-//! - [`bring`] brings that version into the engine: `listings` find out of which
+//! - [`fetch`] brings that version into the engine: `listings` find out of which
 //!   chunks it consists, `collect` draws them from peers (`swarm`) and the origin
 //!   (`source`), and `load` stages them whole and checked, and has the engine go
 //!   over to them in its turn.
 
-pub mod bring;
 mod collect;
+pub mod fetch;
 mod listings;
 mod load;
 pub mod plan;
@@ -33,8 +33,8 @@
 use metrics_exporter_prometheus::PrometheusHandle;
 use tokio_util::sync::CancellationToken;
 
-use self::bring::Bringer;
 use self::collect::Collector;
+use self::fetch::Fetcher;
 use self::listings::Listings;
 use self::plan::Plans;
 use self::report::Reporter;
@@ -102,14 +102,14 @@
 }
 
 /// The running program; dropping it ends its tasks.
-pub struct Stager {
+pub struct Agent {
     plans: Arc<Plans>,
     // What chunks go out by.
     out: Arc<Pacer>,
     stop: CancellationToken,
 }
 
-impl Stager {
+impl Agent {
     /// Starts the program and listens on the addresses of its settings.
     ///
     /// # Errors
@@ -145,10 +145,10 @@
             transfers: transfers(shelf, link, parts.client),
             listings,
         };
-        let bringer = Bringer::new(Arc::clone(&reporter), collector);
+        let fetcher = Fetcher::new(Arc::clone(&reporter), collector);
         tokio::spawn(stop::until(stop.clone(), Arc::clone(&reporter).report()));
         tokio::spawn(stop::until(stop.clone(), reporter.listen()));
-        tokio::spawn(stop::until(stop.clone(), bringer.run()));
+        tokio::spawn(stop::until(stop.clone(), fetcher.run()));
         tracing::info!(instance = %*settings.instance, engine = %beside.address, "agent started");
         Ok(Self { plans, out, stop })
     }
@@ -198,7 +198,7 @@
     settings.limits.link_mbps * BYTES_IN_MEGABIT
 }
 
-impl Drop for Stager {
+impl Drop for Agent {
     fn drop(&mut self) {
         self.stop.cancel();
     }
--- a/tests/testsuite/hints.rs
+++ b/tests/testsuite/hints.rs
@@ -8,8 +8,8 @@
 use axum::Router;
 use axum::routing::get;
 use cinderspoke::gateway::message::{Datagram, Plan, pack, send};
-use cinderspoke::stager::plan::Plans;
-use cinderspoke::stager::report::Reporter;
+use cinderspoke::staging::plan::Plans;
+use cinderspoke::staging::report::Reporter;
 use cinderspoke::util::http::Client;
 use cinderspoke_core::gateway::rollout::{Rollout, Version};
 use cinderspoke_test_support::address;
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::stagers::{Empty, hint, model, settings};
+use crate::staging::{Empty, hint, model, settings};
 
 /// How long it takes to read a plan.
 const TAKES: Duration = Duration::from_millis(100);
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -31,6 +31,6 @@
 mod silence;
 mod silent_peer;
 mod spread;
-mod stagers;
+mod staging;
 mod turns;
 mod watches;
--- a/tests/testsuite/reload.rs
+++ b/tests/testsuite/reload.rs
@@ -125,13 +125,13 @@
     let on_platform = ["--adapter", "platform"];
     let entry = write(&directory, "entry", &fleet.entries[0].settings);
     let agent = write(&directory, "agent", &fleet.agents[0].settings);
-    let (gateway, stager) =
-        (write(&directory, "gateway", &node("info")), write(&directory, "stager", &node("info")));
+    let (gateway, staging) =
+        (write(&directory, "gateway", &node("info")), write(&directory, "staging", &node("info")));
     let programs = [
         (Program::spawn(ENTRY, &[], &entry), "started"),
         (Program::spawn(AGENT, &[], &agent), "started"),
         (Program::spawn(ENTRY, &on_platform, &gateway), "gateway started"),
-        (Program::spawn(AGENT, &on_platform, &stager), "agent started"),
+        (Program::spawn(AGENT, &on_platform, &staging), "agent started"),
     ];
     for (program, started) in programs {
         program.wait_line(started);
--- a/tests/testsuite/stagers.rs
+++ b/tests/testsuite/staging.rs
@@ -12,9 +12,9 @@
 use axum::routing::get;
 use bytes::Bytes;
 use cinderspoke::gateway::message::{Datagram, Peer, Plan, buffer, pack, receive, send};
-use cinderspoke::stager::plan::Plans;
-use cinderspoke::stager::report::Reporter;
-use cinderspoke::stager::{Parts, Stager};
+use cinderspoke::staging::plan::Plans;
+use cinderspoke::staging::report::Reporter;
+use cinderspoke::staging::{Agent, Parts};
 use cinderspoke_core::gateway::catalog::Origin as Declared;
 use cinderspoke_core::gateway::name::Model;
 use cinderspoke_core::gateway::rollout::{Rollout, Version};
@@ -168,7 +168,7 @@
 }
 
 /// So many agents in two zones, whose gateway names the second version.
-async fn start(agents: usize, origin: &Arc<Few>) -> (Vec<Arc<Empty>>, Vec<Stager>) {
+async fn start(agents: usize, origin: &Arc<Few>) -> (Vec<Arc<Empty>>, Vec<Agent>) {
     let zone = |number: usize| if number.is_multiple_of(2) { "a" } else { "b" };
     let addresses: Vec<_> = (0..agents).map(|_| address::free().unwrap()).collect();
     let peer = |(number, engine): (usize, &SocketAddr)| Peer {
@@ -187,7 +187,7 @@
         ..Plan::default()
     };
     gateway(seed, plan).await;
-    let (mut engines, mut stagers) = (Vec::new(), Vec::new());
+    let (mut engines, mut started) = (Vec::new(), Vec::new());
     for (number, address) in addresses.into_iter().enumerate() {
         let engine = Arc::new(Empty::default());
         let origin = Arc::clone(origin);
@@ -198,10 +198,10 @@
             metrics: None,
         };
         let settings = settings(address, zone(number), seed);
-        stagers.push(Stager::bind(&settings, parts).await.unwrap());
+        started.push(Agent::bind(&settings, parts).await.unwrap());
         engines.push(engine);
     }
-    (engines, stagers)
+    (engines, started)
 }
 
 /// Waits until all engines run the second version.
@@ -215,13 +215,13 @@
 #[tokio::test]
 async fn an_origin_that_gives_few_listings_is_enough_for_all_agents() {
     // One for each zone, and some more in case that an agent asks out of its turn.
-    let (engines, _stagers) = start(16, &Few::new(6, 0)).await;
+    let (engines, _agents) = start(16, &Few::new(6, 0)).await;
     timeout(LONG, all_run(&engines)).await.expect("agents were left without a listing");
 }
 
 #[tokio::test]
 async fn a_listing_that_came_spoilt_is_read_again() {
-    let (engines, _stagers) = start(4, &Few::new(usize::MAX, 2)).await;
+    let (engines, _agents) = start(4, &Few::new(usize::MAX, 2)).await;
     timeout(LONG, all_run(&engines)).await.expect("agents wait for chunks that do not exist");
 }
 
@@ -276,7 +276,7 @@
         client: Client::new(),
         metrics: None,
     };
-    let _stager = Stager::bind(&settings(address, "a", seed), parts).await.unwrap();
+    let _agent = Agent::bind(&settings(address, "a", seed), parts).await.unwrap();
     sleep(STEP_DELAY).await;
     plan.lock().unwrap().rollout.advance(model(), Version(3));
     sleep(STEP_DELAY).await;
@@ -396,10 +396,10 @@
         client: Client::new(),
         metrics: None,
     };
-    let stager = Stager::bind(&before, parts).await.unwrap();
+    let agent = Agent::bind(&before, parts).await.unwrap();
     let mut after = before.clone();
     after.seeds = vec![gateway];
-    stager.reload(&after);
+    agent.reload(&after);
     let heard = timeout(LONG, receive(&ear, &mut buffer())).await.unwrap();
     assert!(matches!(heard, Datagram::Report { .. }), "{heard:?}");
 }
