--- a/src/cinderspoke/agent/shelf.rs
+++ b/src/cinderspoke/agent/cache.rs
@@ -20,7 +20,7 @@
 
 /// All chunks that an instance holds.
 #[derive(Debug)]
-pub struct Shelf {
+pub struct Cache {
     limit: size::Bytes,
     state: Mutex<State>,
     // Told after each chunk.
@@ -48,8 +48,8 @@
     spare: bool,
 }
 
-impl Shelf {
-    /// An empty shelf for at most `limit` of chunks.
+impl Cache {
+    /// An empty cache for at most `limit` of chunks.
     #[must_use]
     pub fn new(limit: size::Bytes) -> Self {
         Self { limit, state: Mutex::default(), puts: Signal::default() }
@@ -62,7 +62,7 @@
     /// Starts to hold a version, and tells which of its chunks are here already.
     ///
     /// Versions that the engine has loaded make room for it where they must.
-    pub fn open(&self, manifest: &Manifest) -> Bitmap {
+    pub fn add_version(&self, manifest: &Manifest) -> Bitmap {
         let mut state = self.lock();
         if let Some(version) = state.versions.get(&manifest.digest()) {
             // Peers wait for its next chunk: it has to stay the same one.
@@ -94,7 +94,7 @@
     }
 
     /// Puts a verified chunk where it belongs.
-    pub fn put(&self, digest: Digest, bytes: Bytes) {
+    pub fn insert(&self, digest: Digest, bytes: Bytes) {
         let mut state = self.lock();
         let length = size::Bytes::new(bytes.len() as u64);
         if state.chunks.insert(digest, bytes).is_none() {
@@ -112,7 +112,7 @@
 
     /// A chunk, to be given to a peer, if it is held.
     #[must_use]
-    pub fn give(&self, digest: Digest) -> Option<Bytes> {
+    pub fn serve(&self, digest: Digest) -> Option<Bytes> {
         let mut state = self.lock();
         let bytes = state.chunks.get(&digest).cloned()?;
         state.given += bytes.len() as u64;
@@ -133,7 +133,7 @@
 
     /// The whole weights, chunk by chunk; `None` while some are missing.
     #[must_use]
-    pub fn whole(&self, manifest: Digest) -> Option<Vec<Bytes>> {
+    pub fn all_chunks(&self, manifest: Digest) -> Option<Vec<Bytes>> {
         let state = self.lock();
         let version = state.versions.get(&manifest)?;
         version
@@ -168,14 +168,14 @@
     }
 
     /// Marks a version as loaded: its chunks may go when room is needed.
-    pub fn spare(&self, manifest: Digest) {
+    pub fn mark_evictable(&self, manifest: Digest) {
         if let Some(version) = self.lock().versions.get_mut(&manifest) {
             version.spare = true;
         }
     }
 
     /// Stops holding a version; chunks that other versions share stay.
-    pub fn close(&self, manifest: Digest) {
+    pub fn remove_version(&self, manifest: Digest) {
         self.lock().remove(manifest);
     }
 }
--- a/src/cinderspoke/agent/control.rs
+++ b/src/cinderspoke/agent/control.rs
@@ -185,17 +185,17 @@
             }
             Message::NotVerified(manifest) => {
                 self.transfers.remove(&manifest);
-                self.parts.shared.shelf.close(manifest);
+                self.parts.shared.cache.remove_version(manifest);
                 self.replicas.record_fetch_failure(manifest);
             }
             Message::Loaded(manifest) => {
-                self.parts.shared.shelf.spare(manifest);
+                self.parts.shared.cache.mark_evictable(manifest);
                 self.replicas.record_loaded(manifest);
             }
             Message::NotLoaded(manifest) => self.replicas.record_load_failure(manifest),
             Message::Drained(manifest) => self.replicas.record_drained(manifest),
             Message::Unloaded(manifest) => {
-                self.parts.shared.shelf.close(manifest);
+                self.parts.shared.cache.remove_version(manifest);
                 self.replicas.record_unloaded(manifest);
             }
             Message::NotUnloaded(manifest) => self.replicas.record_unload_failure(manifest),
@@ -263,7 +263,7 @@
             Step::Fetch(weights) => self.fetch(&weights),
             Step::Abandon(manifest) => {
                 self.transfers.remove(&manifest);
-                self.parts.shared.shelf.close(manifest);
+                self.parts.shared.cache.remove_version(manifest);
             }
             Step::Load { weights, fence } => {
                 let manifest = weights.manifest;
@@ -373,7 +373,7 @@
 
     fn replica(&self, (service, phase, weights): (&Service, Phase, Option<&Weights>)) -> Replica {
         let progress =
-            weights.and_then(|weights| self.parts.shared.shelf.progress(weights.manifest));
+            weights.and_then(|weights| self.parts.shared.cache.progress(weights.manifest));
         let (held, total) = progress.unwrap_or_default();
         let count = |length: usize| u32::try_from(length).unwrap_or(u32::MAX);
         Replica {
@@ -399,7 +399,7 @@
 
 /// Orders the engine to load verified weights, chunk by chunk.
 async fn load(shared: Arc<Shared>, weights: Weights, fence: Fence) -> Result<(), Error> {
-    let whole = shared.shelf.whole(weights.manifest);
+    let whole = shared.cache.all_chunks(weights.manifest);
     let chunks = whole.ok_or_else(|| Error::NotRun("chunks were dropped before loading".into()))?;
     let bytes = stream::iter(chunks.into_iter().map(Ok)).boxed();
     shared.engine()?.load(LoadOrder { weights, fence, bytes }).await
--- a/src/cinderspoke/agent/mod.rs
+++ b/src/cinderspoke/agent/mod.rs
@@ -2,17 +2,17 @@
 //!
 //! - [`control`] owns the instance's replicas and talks to the zone's entry
 //!   instances; it alone gives the endpoint orders.
-//! - [`transfer`] draws chunks into the [`shelf`], each by [`fetch`], as `holdings`
+//! - [`transfer`] draws chunks into the [`cache`], each by [`fetch`], as `holdings`
 //!   tells what others hold; [`peers`] gives them.
 //! - [`requests`] passes requests on, as far as [`serving`] takes them.
 
+pub mod cache;
 pub mod control;
 pub mod fetch;
 mod holdings;
 pub mod peers;
 pub mod requests;
 pub mod serving;
-pub mod shelf;
 pub mod transfer;
 
 use std::sync::Arc;
@@ -77,7 +77,7 @@
     /// The endpoint.
     pub endpoint: Endpoint,
     /// The chunks.
-    pub shelf: Arc<shelf::Shelf>,
+    pub cache: Arc<cache::Cache>,
     /// Which requests are taken.
     pub serving: Arc<serving::Table>,
     /// What keeps transfers below the link's rate.
@@ -175,7 +175,7 @@
     /// How many chunks of a version are held, and how many there are.
     #[must_use]
     pub fn progress(&self, manifest: Digest) -> Option<(usize, usize)> {
-        self.shared.shelf.progress(manifest)
+        self.shared.cache.progress(manifest)
     }
 
     /// The bytes of weights that were drawn and given.
@@ -207,12 +207,12 @@
 
 /// What traffic and control share.
 fn shared(settings: &settings::Agent, endpoint: Endpoint) -> Shared {
-    let shelf = Arc::new(shelf::Shelf::new(settings.chunk_memory));
+    let cache = Arc::new(cache::Cache::new(settings.chunk_memory));
     let pacer = Arc::new(Pacer::new(settings.link_rate));
     let uploads = settings.uploads.get() as usize;
-    let (given, paced) = (Arc::clone(&shelf), Arc::clone(&pacer));
+    let (given, paced) = (Arc::clone(&cache), Arc::clone(&pacer));
     let giver = Arc::new(peers::Giver::new(given, paced, uploads, Duration::ZERO));
-    Shared { endpoint, shelf, serving: Arc::default(), pacer, giver }
+    Shared { endpoint, cache, serving: Arc::default(), pacer, giver }
 }
 
 /// What all transfers share.
@@ -224,7 +224,7 @@
     client: Client,
 ) -> transfer::Context {
     transfer::Context {
-        shelf: Arc::clone(&shared.shelf),
+        cache: Arc::clone(&shared.cache),
         origin,
         client,
         pacer: Arc::clone(&shared.pacer),
--- a/src/cinderspoke/agent/peers.rs
+++ b/src/cinderspoke/agent/peers.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::timeout;
 
-use super::shelf::Shelf;
+use super::cache::Cache;
 use crate::util::metrics::WEIGHTS_UPLOADED;
 use crate::util::pacer::Pacer;
 
@@ -26,7 +26,7 @@
 /// What gives chunks to peers.
 #[derive(Debug)]
 pub struct Giver {
-    shelf: Arc<Shelf>,
+    cache: Arc<Cache>,
     pacer: Arc<Pacer>,
     // One permit for each chunk that may be given at once.
     uploads: Semaphore,
@@ -35,10 +35,10 @@
 }
 
 impl Giver {
-    /// Gives chunks of a shelf, so many at once; others wait so long.
+    /// Gives chunks of a cache, so many at once; others wait so long.
     #[must_use]
-    pub fn new(shelf: Arc<Shelf>, pacer: Arc<Pacer>, uploads: usize, queue: Duration) -> Self {
-        Self { shelf, pacer, uploads: Semaphore::new(uploads), queue }
+    pub fn new(cache: Arc<Cache>, pacer: Arc<Pacer>, uploads: usize, queue: Duration) -> Self {
+        Self { cache, pacer, uploads: Semaphore::new(uploads), queue }
     }
 
     /// A permit to give a chunk; none when others take too long.
@@ -73,7 +73,7 @@
     if let Some(wait) = patience.wait_ms {
         let wait = Duration::from_millis(wait).min(MAX_WAIT);
         // When the wait is over, the chunk is not found below.
-        let _ = timeout(wait, giver.shelf.wait_for(digest)).await;
+        let _ = timeout(wait, giver.cache.wait_for(digest)).await;
         let _upload = giver.uploads.acquire().await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
         return give(&giver, digest).await;
     }
@@ -82,7 +82,7 @@
 }
 
 async fn give(giver: &Giver, digest: Digest) -> Result<Bytes, StatusCode> {
-    let bytes = giver.shelf.give(digest).ok_or(StatusCode::NOT_FOUND)?;
+    let bytes = giver.cache.serve(digest).ok_or(StatusCode::NOT_FOUND)?;
     let length = bytes.len() as u64;
     giver.pacer.acquire(size::Bytes::new(length)).await;
     counter!(WEIGHTS_UPLOADED).increment(length);
@@ -102,13 +102,13 @@
     Path(manifest): Path<Digest>,
     Query(known): Query<Known>,
 ) -> Result<Json<Holdings>, StatusCode> {
-    let (holdings, mut revision) = giver.shelf.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
+    let (holdings, mut revision) = giver.cache.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
     if holdings.revision != known.after {
         return Ok(Json(holdings));
     }
     let wait = Duration::from_millis(known.wait_ms).min(MAX_WAIT);
     // Whether it changed or the wait is over, the newest holdings are told.
     let _ = timeout(wait, revision.changed()).await;
-    let (holdings, _) = giver.shelf.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
+    let (holdings, _) = giver.cache.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
     Ok(Json(holdings))
 }
--- a/src/cinderspoke/agent/transfer.rs
+++ b/src/cinderspoke/agent/transfer.rs
@@ -19,9 +19,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep};
 
+use super::cache::Cache;
 use super::fetch::{Drawn, Times, fetch};
 use super::holdings::{Followers, Held};
-use super::shelf::Shelf;
 use crate::ports::{Error, Origin, WeightStore};
 use crate::util::clock::Clock;
 use crate::util::http::Client;
@@ -52,7 +52,7 @@
 /// What transfers need, shared by all of an agent's.
 pub struct Context {
     /// Where chunks are kept.
-    pub shelf: Arc<Shelf>,
+    pub cache: Arc<Cache>,
     /// Where chunks come from at first.
     pub origin: Arc<dyn Origin>,
     /// How peers are reached.
@@ -129,7 +129,7 @@
 ) -> Result<Transfer<Verified>> {
     let algorithm = manifest.algorithm();
     let swarm = members.borrow_and_update().swarm(manifest.digest());
-    let held = context.shelf.open(&manifest);
+    let held = context.cache.add_version(&manifest);
     let now = context.clock.now();
     let limits = limits(&context, &manifest, members.borrow().origin_weight);
     let mut transfer = Transfer::new(manifest, swarm, context.policy, limits, now);
@@ -138,7 +138,8 @@
         .for_each(|chunk| transfer.record_held(chunk));
     draw(&context, &mut transfer, members).await;
     let manifest = transfer.manifest().digest();
-    let chunks = context.shelf.whole(manifest).context("chunks were dropped before loading")?;
+    let chunks =
+        context.cache.all_chunks(manifest).context("chunks were dropped before loading")?;
     let whole = digest_of(algorithm, &chunks).await;
     Ok(transfer.verify(whole)?)
 }
@@ -276,7 +277,7 @@
     counter!(WEIGHTS_FETCHED, "source" => label).increment(bytes.len() as u64);
     tracing::debug!(chunk, ?source, "chunk arrived");
     match transfer.record_chunk(chunk, digest, now) {
-        Arrival::Accepted => context.shelf.put(digest, bytes),
+        Arrival::Accepted => context.cache.insert(digest, bytes),
         Arrival::Unwanted => {}
         Arrival::Corrupt => {
             counter!(CORRUPT, "source" => label).increment(1);
--- a/src/cinderspoke/staging/collect.rs
+++ b/src/cinderspoke/staging/collect.rs
@@ -89,7 +89,7 @@
             *model == wanted.model && version.0 + 1 >= wanted.version.0
         };
         for manifest in self.listings.retain(kept) {
-            self.transfers.shelf.close(manifest.digest());
+            self.transfers.cache.remove_version(manifest.digest());
         }
     }
 
@@ -105,8 +105,8 @@
 
     /// Takes in what is staged already: it outlives the agent and the engine.
     pub(super) async fn take_staged(&self, wanted: &Wanted, manifest: &Manifest) {
-        let shelf = &self.transfers.shelf;
-        let held = shelf.open(manifest);
+        let cache = &self.transfers.cache;
+        let held = cache.add_version(manifest);
         if held.is_full() {
             return;
         }
@@ -114,7 +114,7 @@
             let Ok(Some(bytes)) = self.engine.staged(&wanted.model, chunk).await else { return };
             let digest = manifest.algorithm().chunk(&bytes);
             if manifest.chunk(chunk) == Some(digest) {
-                shelf.put(digest, bytes);
+                cache.insert(digest, bytes);
             } else if chunk == 0 {
                 // Most likely another version lies there.
                 return;
@@ -122,9 +122,9 @@
         }
     }
 
-    /// The number of chunks held and the total for a version, if the shelf tracks it.
+    /// The number of chunks held and the total for a version, if the cache tracks it.
     pub(super) fn progress(&self, manifest: Digest) -> Option<(usize, usize)> {
-        self.transfers.shelf.progress(manifest)
+        self.transfers.cache.progress(manifest)
     }
 
     /// Whether a part of a version's chunks is there.
@@ -141,8 +141,8 @@
     }
 
     /// The chunks of a version, if all are there.
-    pub(super) fn whole(&self, manifest: Digest) -> Option<Vec<Bytes>> {
-        self.transfers.shelf.whole(manifest)
+    pub(super) fn all_chunks(&self, manifest: Digest) -> Option<Vec<Bytes>> {
+        self.transfers.cache.all_chunks(manifest)
     }
 
     /// Collects all chunks from peers and the origin.
@@ -166,7 +166,7 @@
         let source = VersionSource { origin, model, version, chunk_bytes };
         let transfers = &self.transfers;
         Ok(transfer::Context {
-            shelf: Arc::clone(&transfers.shelf),
+            cache: Arc::clone(&transfers.cache),
             origin: Arc::new(source),
             client: transfers.client.clone(),
             pacer: Arc::clone(&transfers.pacer),
--- a/src/cinderspoke/staging/fetch.rs
+++ b/src/cinderspoke/staging/fetch.rs
@@ -148,7 +148,7 @@
         let latest = self.reporter.subscribe().borrow().clone();
         let runs = latest.is_some_and(|report| wanted.runs_in(&report));
         self.collector.take_staged(wanted, &manifest).await;
-        if runs && self.collector.whole(manifest.digest()).is_some() {
+        if runs && self.collector.all_chunks(manifest.digest()).is_some() {
             return self.rest(wanted).await;
         }
         let changeover = self.changeover(wanted);
@@ -167,7 +167,7 @@
             return Ok(());
         }
         let load = Load { engine: self.engine.as_ref(), reporter: &self.reporter, wanted };
-        let chunks = self.collector.whole(manifest.digest()).context("chunks are gone")?;
+        let chunks = self.collector.all_chunks(manifest.digest()).context("chunks are gone")?;
         tokio::select! {
             biased;
             loaded = load.run(&manifest, chunks, changeover) => loaded?,
--- a/src/cinderspoke/staging/mod.rs
+++ b/src/cinderspoke/staging/mod.rs
@@ -40,9 +40,9 @@
 use self::report::Reporter;
 use self::source::NoOrigin;
 use self::swarm::peer;
+use crate::agent::cache::Cache;
 use crate::agent::fetch::Times;
 use crate::agent::peers::{self, Giver};
-use crate::agent::shelf::Shelf;
 use crate::agent::transfer;
 use crate::gateway::serve;
 use crate::util::clock::Clock;
@@ -122,10 +122,10 @@
         let listener = listen::tcp(own).await?;
         let socket = listen::udp(own).await?;
         let stop = CancellationToken::new();
-        let shelf = Arc::new(Shelf::new(Bytes::new(KEPT_VERSIONS * VERSION_MEMORY)));
+        let cache = Arc::new(Cache::new(Bytes::new(KEPT_VERSIONS * VERSION_MEMORY)));
         let listings = Arc::new(Listings::new(parts.client.clone()));
         let out = Arc::new(Pacer::new(upload_rate(settings)));
-        let giver = Giver::new(Arc::clone(&shelf), Arc::clone(&out), UPLOADS, QUEUE);
+        let giver = Giver::new(Arc::clone(&cache), Arc::clone(&out), UPLOADS, QUEUE);
         let app = peers::app(Arc::new(giver))
             .merge(listings.app())
             .merge(serve::metrics_router(parts.metrics));
@@ -142,7 +142,7 @@
             plans: Arc::clone(&plans),
             engine: parts.engine,
             open_origin: parts.open_origin,
-            transfers: transfers(shelf, link, parts.client),
+            transfers: transfers(cache, link, parts.client),
             listings,
         };
         let fetcher = Fetcher::new(Arc::clone(&reporter), collector);
@@ -166,9 +166,9 @@
 }
 
 /// What all transfers share.
-fn transfers(shelf: Arc<Shelf>, link: Arc<Mutex<Link>>, client: Client) -> transfer::Context {
+fn transfers(cache: Arc<Cache>, link: Arc<Mutex<Link>>, client: Client) -> transfer::Context {
     transfer::Context {
-        shelf,
+        cache,
         origin: Arc::new(NoOrigin),
         client,
         // The givers hold back, and both ways of a link are apart.
--- a/tests/testsuite/awaited.rs
+++ b/tests/testsuite/awaited.rs
@@ -10,8 +10,8 @@
 
 use axum::Router;
 use axum::routing::get;
+use cinderspoke::agent::cache::Cache;
 use cinderspoke::agent::peers::{self, Giver};
-use cinderspoke::agent::shelf::Shelf;
 use cinderspoke::agent::transfer::{Context, Members, collect};
 use cinderspoke::util::pacer::Pacer;
 use cinderspoke_types::size;
@@ -53,10 +53,10 @@
 
 #[tokio::test]
 async fn a_peer_without_the_chunk_does_not_mark_the_link_narrow() {
-    let shelf = Arc::new(Shelf::new(size::Bytes::new(1 << 20)));
-    shelf.open(&manifest());
+    let cache = Arc::new(Cache::new(size::Bytes::new(1 << 20)));
+    cache.add_version(&manifest());
     let pacer = Arc::new(Pacer::new(None));
-    let giver = Giver::new(shelf, pacer, 2, Duration::from_millis(400));
+    let giver = Giver::new(cache, pacer, 2, Duration::from_millis(400));
     assert!(!is_link_narrow(serve(peers::app(Arc::new(giver))).await).await);
 }
 
--- a/tests/testsuite/silent_peer.rs
+++ b/tests/testsuite/silent_peer.rs
@@ -11,9 +11,9 @@
 use axum::extract::Request;
 use axum::middleware::{Next, from_fn};
 use bytes::Bytes;
+use cinderspoke::agent::cache::Cache;
 use cinderspoke::agent::fetch::Times;
 use cinderspoke::agent::peers::{self, Giver};
-use cinderspoke::agent::shelf::Shelf;
 use cinderspoke::agent::transfer::{Context, Members, collect};
 use cinderspoke::util::clock::Clock;
 use cinderspoke::util::pacer::Pacer;
@@ -66,9 +66,9 @@
 }
 
 /// A peer; what it holds is told but for the calls with such numbers, which get no answer.
-async fn peer(shelf: &Arc<Shelf>, unanswered: Range<usize>) -> SocketAddr {
+async fn peer(cache: &Arc<Cache>, unanswered: Range<usize>) -> SocketAddr {
     let pacer = Arc::new(Pacer::new(None));
-    let giver = Giver::new(Arc::clone(shelf), pacer, 2, Duration::from_millis(400));
+    let giver = Giver::new(Arc::clone(cache), pacer, 2, Duration::from_millis(400));
     let calls = Arc::new(AtomicUsize::new(0));
     let app = peers::app(Arc::new(giver)).layer(from_fn(move |request: Request, next: Next| {
         let (calls, unanswered) = (Arc::clone(&calls), unanswered.clone());
@@ -88,7 +88,7 @@
 
 pub(crate) fn context() -> Context {
     Context {
-        shelf: Arc::new(Shelf::new(size::Bytes::new(1 << 20))),
+        cache: Arc::new(Cache::new(size::Bytes::new(1 << 20))),
         origin: Arc::new(Away),
         client: Client::new(),
         pacer: Arc::new(Pacer::new(None)),
@@ -108,10 +108,10 @@
 
 /// How long it takes to draw what a peer comes to hold meanwhile.
 async fn draws(unanswered: Range<usize>) -> Duration {
-    let (shelf, manifest) = (Arc::new(Shelf::new(size::Bytes::new(1 << 20))), manifest());
-    shelf.open(&manifest);
-    shelf.put(Algorithm::Sha256.chunk(&chunk(0)), chunk(0));
-    let address = peer(&shelf, unanswered).await;
+    let (cache, manifest) = (Arc::new(Cache::new(size::Bytes::new(1 << 20))), manifest());
+    cache.add_version(&manifest);
+    cache.insert(Algorithm::Sha256.chunk(&chunk(0)), chunk(0));
+    let address = peer(&cache, unanswered).await;
     let own = member("e0", SocketAddr::from(([127, 0, 0, 1], 9)));
     let members = Members { own, peers: vec![member("e1", address)], origin_weight: 0.5 };
     let (_sender, members) = watch::channel(members);
@@ -119,7 +119,7 @@
     let drawing = tokio::spawn(collect(Arc::new(context()), manifest, members));
     sleep(SETTLED).await;
     (1..CHUNKS)
-        .for_each(|number| shelf.put(Algorithm::Sha256.chunk(&chunk(number)), chunk(number)));
+        .for_each(|number| cache.insert(Algorithm::Sha256.chunk(&chunk(number)), chunk(number)));
     let drawn = timeout(DRAWN, drawing).await;
     assert!(drawn.is_ok(), "not drawn after {:?}", began.elapsed());
     began.elapsed()
--- a/tests/testsuite/turns.rs
+++ b/tests/testsuite/turns.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cinderspoke::agent::shelf::Shelf;
+use cinderspoke::agent::cache::Cache;
 use cinderspoke_core::bitmap::Bitmap;
 use cinderspoke_core::manifest::{Algorithm, Manifest};
 use cinderspoke_core::swarm::Swarm;
@@ -182,11 +182,11 @@
 
 #[tokio::test]
 async fn peers_that_await_chunks_are_notified_after_a_version_is_opened_again() {
-    let (shelf, manifest) = (Shelf::new(size::Bytes::new(1 << 20)), manifest());
-    shelf.open(&manifest);
-    let (_, mut updates) = shelf.holdings(manifest.digest()).unwrap();
-    shelf.open(&manifest);
-    shelf.put(Algorithm::Sha256.chunk(&chunk(3)), Bytes::from(chunk(3)));
+    let (cache, manifest) = (Cache::new(size::Bytes::new(1 << 20)), manifest());
+    cache.add_version(&manifest);
+    let (_, mut updates) = cache.holdings(manifest.digest()).unwrap();
+    cache.add_version(&manifest);
+    cache.insert(Algorithm::Sha256.chunk(&chunk(3)), Bytes::from(chunk(3)));
     let notified = tokio::time::timeout(Duration::from_secs(5), updates.changed()).await;
     assert!(notified.is_ok(), "a waiting peer is never notified of the chunk");
 }
