--- a/src/cinderspoke/agent/control.rs
+++ b/src/cinderspoke/agent/control.rs
@@ -273,7 +273,7 @@
             Step::Drain(manifest) => {
                 let (shared, sender) = (Arc::clone(&self.parts.shared), self.sender.clone());
                 self.spawn(async move {
-                    shared.serving.unused(manifest).await;
+                    shared.serving.wait_unused(manifest).await;
                     let _ = sender.send(Message::Drained(manifest)).await;
                 });
             }
--- a/src/cinderspoke/agent/fetch.rs
+++ b/src/cinderspoke/agent/fetch.rs
@@ -26,32 +26,32 @@
 
 /// How long peers may take to answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Times {
+pub struct Timeouts {
     /// To give a chunk that they hold, however small it is.
     pub chunk: Duration,
     /// To have a chunk that they do not hold yet.
     pub wait: Duration,
 }
 
-impl Default for Times {
-    /// Times for chunks of megabytes.
+impl Default for Timeouts {
+    /// Timeouts for chunks of megabytes.
     fn default() -> Self {
         Self { chunk: CHUNK_TIMEOUT, wait: AWAIT }
     }
 }
 
-impl Times {
+impl Timeouts {
     /// How long a peer may take to give a chunk of a length: a large one is on its way for
     /// longer, and would never be whole by the time that suffices for a small one.
     #[must_use]
-    pub fn to_give(&self, length: size::Bytes) -> Duration {
+    pub fn for_chunk(&self, length: size::Bytes) -> Duration {
         let carried = length.as_u64().saturating_mul(1000) / SLOWEST;
         self.chunk.max(Duration::from_millis(carried))
     }
 }
 
 /// A chunk that was asked for, and what came.
-pub(super) struct Drawn {
+pub(super) struct Fetched {
     /// The chunk.
     pub(super) chunk: usize,
     /// Who was asked.
@@ -83,7 +83,7 @@
     chunk: usize,
     source: Source,
     awaited: bool,
-) -> impl Future<Output = Drawn> + use<> {
+) -> impl Future<Output = Fetched> + use<> {
     let manifest = transfer.manifest();
     let algorithm = manifest.algorithm();
     let mut peers = transfer.swarm().peers();
@@ -108,11 +108,13 @@
         let observation = match source {
             // A slow or failed origin request may be due to the origin's own link.
             Source::Origin => Observation::Inconclusive,
-            Source::Peer(_) => observe_peer(&bytes, elapsed, awaited.then_some(context.times.wait)),
+            Source::Peer(_) => {
+                observe_peer(&bytes, elapsed, awaited.then_some(context.timeouts.wait))
+            }
         };
         let result = bytes.map(|bytes| (algorithm.chunk(&bytes), bytes));
         let took = (!awaited).then_some(elapsed);
-        Drawn { chunk, source, result, took, observation }
+        Fetched { chunk, source, result, took, observation }
     }
 }
 
@@ -153,10 +155,10 @@
     }
     let address = address.context("the peer has left")?;
     let digest = digest.context("no such chunk")?;
-    let wait = if awaited { context.times.wait } else { Duration::ZERO };
+    let wait = if awaited { context.timeouts.wait } else { Duration::ZERO };
     let query = if awaited { format!("?wait_ms={}", wait.as_millis()) } else { String::new() };
     let call = Call::get(address, format!("/v1/chunks/{digest}{query}"));
-    let call = call.limit(usize::MAX).timeout(wait + context.times.to_give(length(&range)));
+    let call = call.limit(usize::MAX).timeout(wait + context.timeouts.for_chunk(length(&range)));
     let bytes = context.client.fetch(call).await?;
     if awaited {
         // When it would come was not known before.
--- a/src/cinderspoke/agent/holdings.rs
+++ b/src/cinderspoke/agent/holdings.rs
@@ -30,7 +30,7 @@
 const RETRY: Duration = Duration::from_millis(100);
 
 /// What a peer says that it holds.
-pub(super) struct Held {
+pub(super) struct PeerHoldings {
     /// The peer.
     pub(super) peer: Instance,
     /// The chunks that it holds.
@@ -42,13 +42,13 @@
 /// Follows what the neighbours hold, a task each.
 pub(super) struct Followers {
     client: Client,
-    sender: mpsc::Sender<Held>,
+    sender: mpsc::Sender<PeerHoldings>,
     running: BTreeMap<Instance, (SocketAddr, AbortHandle)>,
 }
 
 impl Followers {
     /// Follows nobody yet; what peers say goes to the sender.
-    pub(super) fn new(client: Client, sender: mpsc::Sender<Held>) -> Self {
+    pub(super) fn new(client: Client, sender: mpsc::Sender<PeerHoldings>) -> Self {
         Self { client, sender, running: BTreeMap::new() }
     }
 
@@ -88,7 +88,7 @@
     address: SocketAddr,
     manifest: Digest,
     peer: Instance,
-    sender: mpsc::Sender<Held>,
+    sender: mpsc::Sender<PeerHoldings>,
 ) {
     let mut after = 0;
     loop {
@@ -102,7 +102,7 @@
             Some((chunks, holdings)) => {
                 after = holdings.revision;
                 if sender
-                    .send(Held { peer: peer.clone(), chunks, given: holdings.given })
+                    .send(PeerHoldings { peer: peer.clone(), chunks, given: holdings.given })
                     .await
                     .is_err()
                 {
--- a/src/cinderspoke/agent/mod.rs
+++ b/src/cinderspoke/agent/mod.rs
@@ -83,7 +83,7 @@
     /// What keeps transfers below the link's rate.
     pub pacer: Arc<Pacer>,
     /// What gives chunks to peers.
-    pub giver: Arc<peers::Giver>,
+    pub uploader: Arc<peers::Uploader>,
 }
 
 impl Shared {
@@ -178,7 +178,7 @@
         self.shared.cache.progress(manifest)
     }
 
-    /// The bytes of weights that were drawn and given.
+    /// The bytes of weights that were fetched and given.
     #[must_use]
     pub fn carried(&self) -> Bytes {
         self.shared.pacer.total()
@@ -190,7 +190,7 @@
         self.leaving.cancel();
         tokio::time::sleep(self.heartbeat * LAME_DUCK_HEARTBEATS).await;
         self.shared.serving.close();
-        self.shared.serving.idle().await;
+        self.shared.serving.wait_idle().await;
         self.closing.cancel();
         for server in self.servers.drain(..) {
             // A server that panicked has ended as well.
@@ -211,8 +211,8 @@
     let pacer = Arc::new(Pacer::new(settings.link_rate));
     let uploads = settings.uploads.get() as usize;
     let (given, paced) = (Arc::clone(&cache), Arc::clone(&pacer));
-    let giver = Arc::new(peers::Giver::new(given, paced, uploads, Duration::ZERO));
-    Shared { endpoint, cache, serving: Arc::default(), pacer, giver }
+    let uploader = Arc::new(peers::Uploader::new(given, paced, uploads, Duration::ZERO));
+    Shared { endpoint, cache, serving: Arc::default(), pacer, uploader }
 }
 
 /// What all transfers share.
@@ -230,14 +230,14 @@
         pacer: Arc::clone(&shared.pacer),
         policy,
         link_rate: settings.link_rate,
-        limit: settings.downloads.get() as usize,
-        origin_limit: ORIGIN_DOWNLOADS,
+        max_downloads: settings.downloads.get() as usize,
+        max_origin_downloads: ORIGIN_DOWNLOADS,
         origin_spacing: Duration::ZERO,
         penalty: SOURCE_BACKOFF,
-        times: fetch::Times::default(),
-        slow: None,
+        timeouts: fetch::Timeouts::default(),
+        slow_chunk: None,
         link: Arc::default(),
-        introduction: Duration::ZERO,
+        initial_holdings_wait: Duration::ZERO,
         clock: Clock::start(),
     }
 }
@@ -262,9 +262,9 @@
 }
 
 fn app(shared: Arc<Shared>) -> Router {
-    let peers = peers::app(Arc::clone(&shared.giver));
+    let peers = peers::app(Arc::clone(&shared.uploader));
     Router::new()
-        .route("/v1/requests/{service}/{*path}", any(requests::answer))
+        .route("/v1/requests/{service}/{*path}", any(requests::handle))
         // The entry instance that passes a request on has limited its size.
         .layer(DefaultBodyLimit::disable())
         .with_state(shared)
--- a/src/cinderspoke/agent/peers.rs
+++ b/src/cinderspoke/agent/peers.rs
@@ -25,7 +25,7 @@
 
 /// What gives chunks to peers.
 #[derive(Debug)]
-pub struct Giver {
+pub struct Uploader {
     cache: Arc<Cache>,
     pacer: Arc<Pacer>,
     // One permit for each chunk that may be given at once.
@@ -34,7 +34,7 @@
     queue: Duration,
 }
 
-impl Giver {
+impl Uploader {
     /// Gives chunks of a cache, so many at once; others wait so long.
     #[must_use]
     pub fn new(cache: Arc<Cache>, pacer: Arc<Pacer>, uploads: usize, queue: Duration) -> Self {
@@ -51,64 +51,66 @@
 }
 
 /// What peers may ask.
-pub fn app(giver: Arc<Giver>) -> Router {
+pub fn app(uploader: Arc<Uploader>) -> Router {
     Router::new()
         .route("/v1/chunks/{digest}", get(chunk))
         .route("/v1/holdings/{manifest}", get(holdings))
-        .with_state(giver)
+        .with_state(uploader)
 }
 
 /// How long a peer waits for a chunk that is not held yet.
 #[derive(Debug, Deserialize)]
-pub struct Patience {
+pub struct ChunkQuery {
     wait_ms: Option<u64>,
 }
 
 /// Gives a chunk; 503 says that others are being given at the moment.
 pub async fn chunk(
-    State(giver): State<Arc<Giver>>,
+    State(uploader): State<Arc<Uploader>>,
     Path(digest): Path<Digest>,
-    Query(patience): Query<Patience>,
+    Query(query): Query<ChunkQuery>,
 ) -> Result<Bytes, StatusCode> {
-    if let Some(wait) = patience.wait_ms {
+    if let Some(wait) = query.wait_ms {
         let wait = Duration::from_millis(wait).min(MAX_WAIT);
         // When the wait is over, the chunk is not found below.
-        let _ = timeout(wait, giver.cache.wait_for(digest)).await;
-        let _upload = giver.uploads.acquire().await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
-        return give(&giver, digest).await;
+        let _ = timeout(wait, uploader.cache.wait_for(digest)).await;
+        let _upload =
+            uploader.uploads.acquire().await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
+        return give(&uploader, digest).await;
     }
-    let _upload = giver.permit().await.ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
-    give(&giver, digest).await
+    let _upload = uploader.permit().await.ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
+    give(&uploader, digest).await
 }
 
-async fn give(giver: &Giver, digest: Digest) -> Result<Bytes, StatusCode> {
-    let bytes = giver.cache.serve(digest).ok_or(StatusCode::NOT_FOUND)?;
+async fn give(uploader: &Uploader, digest: Digest) -> Result<Bytes, StatusCode> {
+    let bytes = uploader.cache.serve(digest).ok_or(StatusCode::NOT_FOUND)?;
     let length = bytes.len() as u64;
-    giver.pacer.acquire(size::Bytes::new(length)).await;
+    uploader.pacer.acquire(size::Bytes::new(length)).await;
     counter!(WEIGHTS_UPLOADED).increment(length);
     Ok(bytes)
 }
 
 /// Which holdings a peer knows already, and how long it waits for newer ones.
 #[derive(Debug, Deserialize)]
-pub struct Known {
+pub struct HoldingsQuery {
     after: u64,
     wait_ms: u64,
 }
 
 /// Tells which chunks of a version are held, as soon as there are newer ones.
 pub async fn holdings(
-    State(giver): State<Arc<Giver>>,
+    State(uploader): State<Arc<Uploader>>,
     Path(manifest): Path<Digest>,
-    Query(known): Query<Known>,
+    Query(query): Query<HoldingsQuery>,
 ) -> Result<Json<Holdings>, StatusCode> {
-    let (holdings, mut revision) = giver.cache.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
-    if holdings.revision != known.after {
+    let (holdings, mut revision) =
+        uploader.cache.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
+    if holdings.revision != query.after {
         return Ok(Json(holdings));
     }
-    let wait = Duration::from_millis(known.wait_ms).min(MAX_WAIT);
+    let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
     // Whether it changed or the wait is over, the newest holdings are told.
     let _ = timeout(wait, revision.changed()).await;
-    let (holdings, _) = giver.cache.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
+    let (holdings, _) = uploader.cache.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
     Ok(Json(holdings))
 }
--- a/src/cinderspoke/agent/requests.rs
+++ b/src/cinderspoke/agent/requests.rs
@@ -23,7 +23,7 @@
 use crate::entry::callers::{MANIFEST, OUTCOME, PRIORITY};
 
 /// Answers a request that an entry instance passed on.
-pub async fn answer(
+pub async fn handle(
     State(shared): State<Arc<Shared>>,
     Path((service, path)): Path<(Service, String)>,
     request: Request<Body>,
@@ -35,7 +35,7 @@
             "the manifest asked for is no digest",
         );
     };
-    let Some(guard) = shared.serving.take(&service, wanted) else {
+    let Some(guard) = shared.serving.admit(&service, wanted) else {
         let reason = "the service is not answered here with these weights";
         return refuse(Outcome::NotRun, StatusCode::SERVICE_UNAVAILABLE, reason);
     };
--- a/src/cinderspoke/agent/serving.rs
+++ b/src/cinderspoke/agent/serving.rs
@@ -62,7 +62,7 @@
     /// Takes a request, if the service is answered here with the weights asked for.
     ///
     /// `None` says that the request has not run and will not.
-    pub fn take(self: &Arc<Self>, service: &Service, wanted: Option<Digest>) -> Option<Guard> {
+    pub fn admit(self: &Arc<Self>, service: &Service, wanted: Option<Digest>) -> Option<Guard> {
         let mut state = self.lock();
         if state.closed {
             return None;
@@ -91,12 +91,12 @@
     }
 
     /// Waits until no request uses some weights.
-    pub async fn unused(&self, manifest: Digest) {
+    pub async fn wait_unused(&self, manifest: Digest) {
         self.wait(|state| state.in_use.get(&Some(manifest)).is_none_or(|count| *count == 0)).await;
     }
 
     /// Waits until no request is in progress.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         self.wait(|state| state.in_use.values().all(|count| *count == 0)).await;
     }
 
--- a/src/cinderspoke/agent/transfer.rs
+++ b/src/cinderspoke/agent/transfer.rs
@@ -20,8 +20,8 @@
 use tokio::time::{interval, sleep};
 
 use super::cache::Cache;
-use super::fetch::{Drawn, Times, fetch};
-use super::holdings::{Followers, Held};
+use super::fetch::{Fetched, Timeouts, fetch};
+use super::holdings::{Followers, PeerHoldings};
 use crate::ports::{Error, Origin, WeightStore};
 use crate::util::clock::Clock;
 use crate::util::http::Client;
@@ -63,22 +63,22 @@
     pub policy: Policy,
     /// What the link carries, where that is known.
     pub link_rate: Option<ByteRate>,
-    /// The most chunks drawn at once.
-    pub limit: usize,
-    /// The most chunks drawn from the origin at once.
-    pub origin_limit: usize,
+    /// The most chunks fetched at once.
+    pub max_downloads: usize,
+    /// The most chunks fetched from the origin at once.
+    pub max_origin_downloads: usize,
     /// The time that the origin's link takes for a chunk; zero where draws need no turns.
     pub origin_spacing: Duration,
     /// How long a source that failed is left alone.
     pub penalty: Duration,
     /// How long peers may take.
-    pub times: Times,
+    pub timeouts: Timeouts,
     /// How long a chunk may take before the link is taken to carry less than it should.
-    pub slow: Option<Duration>,
+    pub slow_chunk: Option<Duration>,
     /// What chunks tell of the link.
     pub link: Arc<Mutex<Link>>,
-    /// How long neighbours have to say what they hold before anything is drawn.
-    pub introduction: Duration,
+    /// How long neighbours have to say what they hold before anything is fetched.
+    pub initial_holdings_wait: Duration,
     /// The agent's clock.
     pub clock: Clock,
 }
@@ -147,11 +147,11 @@
 /// How much a transfer draws at once, and how long it waits.
 fn limits(context: &Context, manifest: &Manifest, origin_weight: f64) -> Limits {
     Limits {
-        downloads: context.limit,
-        origin_downloads: context.origin_limit,
+        downloads: context.max_downloads,
+        origin_downloads: context.max_origin_downloads,
         spacing: context.origin_spacing,
         source_backoff: context.penalty,
-        slow_chunk: context.slow,
+        slow_chunk: context.slow_chunk,
         fallback_timeout: patience(context, manifest, origin_weight),
     }
 }
@@ -221,7 +221,7 @@
         }
         tokio::select! {
             biased;
-            Some(Ok(drawn)) = fetches.join_next() => take(context, transfer, drawn),
+            Some(Ok(fetched)) = fetches.join_next() => take(context, transfer, fetched),
             Some(held) = holdings.recv() => hear(transfer, &held),
             Ok(()) = members.changed() => {
                 let swarm = members.borrow_and_update().swarm(transfer.manifest().digest());
@@ -234,15 +234,15 @@
 }
 
 /// Takes in what a peer holds.
-fn hear(transfer: &mut Transfer<Fetching>, held: &Held) {
+fn hear(transfer: &mut Transfer<Fetching>, held: &PeerHoldings) {
     transfer.record_peer(&held.peer, &held.chunks, held.given);
 }
 
-/// Lets neighbours say what they hold, so that nothing is drawn from afar that is near.
+/// Lets neighbours say what they hold, so that nothing is fetched from afar that is near.
 async fn introduce(
     context: &Context,
     transfer: &mut Transfer<Fetching>,
-    holdings: &mut mpsc::Receiver<Held>,
+    holdings: &mut mpsc::Receiver<PeerHoldings>,
 ) {
     let neighbours = transfer.neighbours().len();
     let heard = async {
@@ -252,12 +252,12 @@
         }
     };
     // Those that say nothing in time are heard later.
-    let _ = tokio::time::timeout(context.introduction, heard).await;
+    let _ = tokio::time::timeout(context.initial_holdings_wait, heard).await;
 }
 
 /// Takes in a chunk that came, or that it did not.
-fn take(context: &Context, transfer: &mut Transfer<Fetching>, drawn: Drawn) {
-    let Drawn { chunk, source, result, took, observation } = drawn;
+fn take(context: &Context, transfer: &mut Transfer<Fetching>, fetched: Fetched) {
+    let Fetched { chunk, source, result, took, observation } = fetched;
     let now = context.clock.now();
     if let Some(took) = took {
         transfer.record_download_time(took);
--- a/src/cinderspoke/staging/mod.rs
+++ b/src/cinderspoke/staging/mod.rs
@@ -41,8 +41,8 @@
 use self::source::NoOrigin;
 use self::swarm::peer;
 use crate::agent::cache::Cache;
-use crate::agent::fetch::Times;
-use crate::agent::peers::{self, Giver};
+use crate::agent::fetch::Timeouts;
+use crate::agent::peers::{self, Uploader};
 use crate::agent::transfer;
 use crate::gateway::serve;
 use crate::util::clock::Clock;
@@ -70,10 +70,10 @@
 /// events go over it too, and must not queue behind them.
 const UPLOAD_PART: f64 = 0.88;
 
-/// How many chunks are drawn at once.
+/// How many chunks are fetched at once.
 const DOWNLOADS: usize = 6;
 
-/// How many chunks are drawn from the origin at once: it takes few connections.
+/// How many chunks are fetched from the origin at once: it takes few connections.
 const ORIGIN_DRAWS: usize = 1;
 
 /// How long a source that failed is left alone: a whole version takes a few seconds.
@@ -81,7 +81,8 @@
 
 /// How long peers may take: a chunk waits behind others for as long as the
 /// queue allows, and then takes a small part of that.
-const TIMES: Times = Times { chunk: Duration::from_millis(1000), wait: Duration::from_millis(700) };
+const TIMEOUTS: Timeouts =
+    Timeouts { chunk: Duration::from_millis(1000), wait: Duration::from_millis(700) };
 
 /// How long neighbours have to say what they hold.
 const INTRODUCTION: Duration = Duration::from_millis(40);
@@ -125,8 +126,8 @@
         let cache = Arc::new(Cache::new(Bytes::new(KEPT_VERSIONS * VERSION_MEMORY)));
         let listings = Arc::new(Listings::new(parts.client.clone()));
         let out = Arc::new(Pacer::new(upload_rate(settings)));
-        let giver = Giver::new(Arc::clone(&cache), Arc::clone(&out), UPLOADS, QUEUE);
-        let app = peers::app(Arc::new(giver))
+        let uploader = Uploader::new(Arc::clone(&cache), Arc::clone(&out), UPLOADS, QUEUE);
+        let app = peers::app(Arc::new(uploader))
             .merge(listings.app())
             .merge(serve::metrics_router(parts.metrics));
         tokio::spawn(serve::router(listener, app, stop.clone()));
@@ -175,14 +176,14 @@
         pacer: Arc::new(Pacer::new(None)),
         policy: Policy::default(),
         link_rate: None,
-        limit: DOWNLOADS,
-        origin_limit: ORIGIN_DRAWS,
+        max_downloads: DOWNLOADS,
+        max_origin_downloads: ORIGIN_DRAWS,
         origin_spacing: Duration::ZERO,
         penalty: PENALTY,
-        times: TIMES,
-        slow: Some(SLOW_CHUNK),
+        timeouts: TIMEOUTS,
+        slow_chunk: Some(SLOW_CHUNK),
         link,
-        introduction: INTRODUCTION,
+        initial_holdings_wait: INTRODUCTION,
         clock: Clock::start(),
     }
 }
--- a/src/cinderspoke/staging/reads.rs
+++ b/src/cinderspoke/staging/reads.rs
@@ -21,7 +21,7 @@
 const PAUSE: Duration = Duration::from_millis(150);
 
 /// Reads that are under way.
-// Invariant: at most `MOST`, each by when it began; all begin at different times.
+// Invariant: at most `MOST`, each by when it began; all begin at different timeouts.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Reads(Arc<Mutex<Vec<Instant>>>);
 
--- a/src/cinderspoke/staging/report.rs
+++ b/src/cinderspoke/staging/report.rs
@@ -41,7 +41,7 @@
     engine: Arc<dyn Engine>,
     socket: UdpSocket,
     clock: Clock,
-    // Drawn at the start; tells this process from those before it.
+    // Fetched at the start; tells this process from those before it.
     process: u64,
     latest: watch::Sender<Latest>,
     // Cleared while the engine is to take no new requests.
--- a/tests/testsuite/awaited.rs
+++ b/tests/testsuite/awaited.rs
@@ -11,7 +11,7 @@
 use axum::Router;
 use axum::routing::get;
 use cinderspoke::agent::cache::Cache;
-use cinderspoke::agent::peers::{self, Giver};
+use cinderspoke::agent::peers::{self, Uploader};
 use cinderspoke::agent::transfer::{Context, Members, collect};
 use cinderspoke::util::pacer::Pacer;
 use cinderspoke_types::size;
@@ -56,8 +56,8 @@
     let cache = Arc::new(Cache::new(size::Bytes::new(1 << 20)));
     cache.add_version(&manifest());
     let pacer = Arc::new(Pacer::new(None));
-    let giver = Giver::new(cache, pacer, 2, Duration::from_millis(400));
-    assert!(!is_link_narrow(serve(peers::app(Arc::new(giver))).await).await);
+    let uploader = Uploader::new(cache, pacer, 2, Duration::from_millis(400));
+    assert!(!is_link_narrow(serve(peers::app(Arc::new(uploader))).await).await);
 }
 
 #[tokio::test]
--- a/tests/testsuite/silent_peer.rs
+++ b/tests/testsuite/silent_peer.rs
@@ -12,8 +12,8 @@
 use axum::middleware::{Next, from_fn};
 use bytes::Bytes;
 use cinderspoke::agent::cache::Cache;
-use cinderspoke::agent::fetch::Times;
-use cinderspoke::agent::peers::{self, Giver};
+use cinderspoke::agent::fetch::Timeouts;
+use cinderspoke::agent::peers::{self, Uploader};
 use cinderspoke::agent::transfer::{Context, Members, collect};
 use cinderspoke::util::clock::Clock;
 use cinderspoke::util::pacer::Pacer;
@@ -33,7 +33,7 @@
 /// How long until a transfer waits for news of its peer.
 const SETTLED: Duration = Duration::from_millis(500);
 
-/// Within how long a version whose chunks are all at a peer has to be drawn: what an old
+/// Within how long a version whose chunks are all at a peer has to be fetched: what an old
 /// version may take, on the deployments that allow the least.
 const DRAWN: Duration = Duration::from_millis(8000);
 
@@ -68,9 +68,9 @@
 /// A peer; what it holds is told but for the calls with such numbers, which get no answer.
 async fn peer(cache: &Arc<Cache>, unanswered: Range<usize>) -> SocketAddr {
     let pacer = Arc::new(Pacer::new(None));
-    let giver = Giver::new(Arc::clone(cache), pacer, 2, Duration::from_millis(400));
+    let uploader = Uploader::new(Arc::clone(cache), pacer, 2, Duration::from_millis(400));
     let calls = Arc::new(AtomicUsize::new(0));
-    let app = peers::app(Arc::new(giver)).layer(from_fn(move |request: Request, next: Next| {
+    let app = peers::app(Arc::new(uploader)).layer(from_fn(move |request: Request, next: Next| {
         let (calls, unanswered) = (Arc::clone(&calls), unanswered.clone());
         async move {
             let tells = request.uri().path().starts_with("/v1/holdings/");
@@ -94,14 +94,14 @@
         pacer: Arc::new(Pacer::new(None)),
         policy: Policy::default(),
         link_rate: None,
-        limit: 6,
-        origin_limit: 1,
+        max_downloads: 6,
+        max_origin_downloads: 1,
         origin_spacing: Duration::ZERO,
         penalty: Duration::from_millis(250),
-        times: Times { chunk: Duration::from_millis(1000), wait: Duration::from_millis(700) },
-        slow: None,
+        timeouts: Timeouts { chunk: Duration::from_millis(1000), wait: Duration::from_millis(700) },
+        slow_chunk: None,
         link: Arc::default(),
-        introduction: Duration::from_millis(40),
+        initial_holdings_wait: Duration::from_millis(40),
         clock: Clock::start(),
     }
 }
@@ -120,8 +120,8 @@
     sleep(SETTLED).await;
     (1..CHUNKS)
         .for_each(|number| cache.insert(Algorithm::Sha256.chunk(&chunk(number)), chunk(number)));
-    let drawn = timeout(DRAWN, drawing).await;
-    assert!(drawn.is_ok(), "not drawn after {:?}", began.elapsed());
+    let fetched = timeout(DRAWN, drawing).await;
+    assert!(fetched.is_ok(), "not fetched after {:?}", began.elapsed());
     began.elapsed()
 }
 
