--- a/src/cinderspoke/staging/collect.rs
+++ b/src/cinderspoke/staging/collect.rs
@@ -20,7 +20,7 @@
 
 use super::OpenOrigin;
 use super::listings::Listings;
-use super::plan::{Plans, Wanted};
+use super::plan::{DesiredVersion, Plans};
 use super::source::VersionSource;
 use super::swarm::peer;
 use crate::agent::transfer::{self, Members, collect};
@@ -58,35 +58,35 @@
 
 impl Collector {
     /// The chunks of a version, as the origin lists them; asks until they are known.
-    pub(super) async fn manifest(&self, wanted: &Wanted) -> Manifest {
-        let version = Key::of(&wanted.to_string());
+    pub(super) async fn manifest(&self, desired: &DesiredVersion) -> Manifest {
+        let version = Key::of(&desired.to_string());
         let tree = || Tree::new(version, &self.own, &self.members(&self.plans.newest()).peers);
-        self.listings.find(wanted, tree, || Ok(self.open(self.origin()?))).await
+        self.listings.find(desired, tree, || Ok(self.open(self.origin()?))).await
     }
 
     /// Waits until the origin lists other chunks for a version than before.
     ///
     /// A listing may have come spoilt, and no chunk would ever fit it.
-    pub(super) async fn listed_anew(&self, wanted: &Wanted) {
+    pub(super) async fn listing_changed(&self, desired: &DesiredVersion) {
         loop {
             sleep(DOUBT).await;
             let origin = self.origin().map(|origin| self.open(origin));
-            match self.listings.read_again(wanted, origin).await {
+            match self.listings.refetch(desired, origin).await {
                 Ok(true) => return,
                 Ok(false) => {}
                 Err(error) => {
                     let error = format!("{error:#}");
-                    tracing::debug!(version = %wanted.version, error, "reading a listing again");
+                    tracing::debug!(version = %desired.version, error, "reading a listing again");
                 }
             }
         }
     }
 
     /// Forgets versions that no engine goes over to any more.
-    pub(super) fn forget_before(&self, wanted: &Wanted) {
+    pub(super) fn evict_before(&self, desired: &DesiredVersion) {
         // The one before may still be what a slower peer collects.
         let kept = |model: &Model, version: Version| {
-            *model == wanted.model && version.0 + 1 >= wanted.version.0
+            *model == desired.model && version.0 + 1 >= desired.version.0
         };
         for manifest in self.listings.retain(kept) {
             self.transfers.cache.remove_version(manifest.digest());
@@ -104,14 +104,14 @@
     }
 
     /// Takes in what is staged already: it outlives the agent and the engine.
-    pub(super) async fn take_staged(&self, wanted: &Wanted, manifest: &Manifest) {
+    pub(super) async fn cache_staged(&self, desired: &DesiredVersion, manifest: &Manifest) {
         let cache = &self.transfers.cache;
         let held = cache.add_version(manifest);
         if held.is_full() {
             return;
         }
         for chunk in (0..manifest.chunks()).filter(|chunk| !held.contains(*chunk)) {
-            let Ok(Some(bytes)) = self.engine.staged(&wanted.model, chunk).await else { return };
+            let Ok(Some(bytes)) = self.engine.staged(&desired.model, chunk).await else { return };
             let digest = manifest.algorithm().chunk(&bytes);
             if manifest.chunk(chunk) == Some(digest) {
                 cache.insert(digest, bytes);
@@ -146,8 +146,12 @@
     }
 
     /// Collects all chunks from peers and the origin.
-    pub(super) async fn collect(&self, wanted: &Wanted, manifest: &Manifest) -> Result<()> {
-        let context = Arc::new(self.context(wanted, manifest)?);
+    pub(super) async fn collect(
+        &self,
+        desired: &DesiredVersion,
+        manifest: &Manifest,
+    ) -> Result<()> {
+        let context = Arc::new(self.context(desired, manifest)?);
         let mut plans = self.plans.subscribe();
         let (members, receiver) = watch::channel(self.members(&plans.borrow_and_update()));
         tokio::select! {
@@ -158,10 +162,10 @@
     }
 
     /// What the transfer of one version needs.
-    fn context(&self, wanted: &Wanted, manifest: &Manifest) -> Result<transfer::Context> {
+    fn context(&self, desired: &DesiredVersion, manifest: &Manifest) -> Result<transfer::Context> {
         let declared = self.origin()?;
         let chunk_bytes = manifest.as_raw().chunk_size.as_u64();
-        let (model, version) = (wanted.model.clone(), wanted.version);
+        let (model, version) = (desired.model.clone(), desired.version);
         let origin = self.open(declared);
         let source = VersionSource { origin, model, version, chunk_bytes };
         let transfers = &self.transfers;
--- a/src/cinderspoke/staging/fetch.rs
+++ b/src/cinderspoke/staging/fetch.rs
@@ -12,7 +12,7 @@
 
 use super::collect::Collector;
 use super::load::Load;
-use super::plan::{Plans, Wanted};
+use super::plan::{DesiredVersion, Plans};
 use super::report::Reporter;
 
 /// How long to wait after something failed.
@@ -62,25 +62,25 @@
     pub async fn run(self) {
         let mut plans = self.plans.subscribe();
         loop {
-            let Some(wanted) = self.plans.wanted() else {
+            let Some(desired) = self.plans.desired() else {
                 if plans.changed().await.is_err() {
                     return;
                 }
                 continue;
             };
-            let superseded = self.superseded(&wanted);
+            let superseded = self.superseded(&desired);
             tokio::select! {
                 biased;
                 () = superseded => {
-                    tracing::info!(version = %wanted.version, "a newer version is wanted");
+                    tracing::info!(version = %desired.version, "a newer version is wanted");
                 }
-                result = self.bring(&wanted) => if let Err(error) = result {
+                result = self.bring(&desired) => if let Err(error) = result {
                     let error = format!("{error:#}");
-                    tracing::warn!(version = %wanted.version, error, "bringing a version");
+                    tracing::warn!(version = %desired.version, error, "bringing a version");
                     sleep(RETRY).await;
                 }
             }
-            self.reporter.set_open(true).await;
+            self.reporter.set_accepts_requests(true).await;
         }
     }
 
@@ -89,17 +89,17 @@
     /// All finish what is nearly there: no engine may answer with the version
     /// before it for much longer, and the newer one needs as long again. They do
     /// so together, since each holds chunks that the others still lack.
-    async fn superseded(&self, wanted: &Wanted) {
+    async fn superseded(&self, desired: &DesiredVersion) {
         let mut changes = self.plans.subscribe();
         let newer = loop {
-            if let Some(newer) = self.plans.wanted().filter(|newer| newer != wanted) {
+            if let Some(newer) = self.plans.desired().filter(|newer| newer != desired) {
                 break newer;
             }
             if changes.changed().await.is_err() {
                 return;
             }
         };
-        let follows = newer.model == wanted.model && newer.version.0 == wanted.version.0 + 1;
+        let follows = newer.model == desired.model && newer.version.0 == desired.version.0 + 1;
         if follows && self.has_part(WORTH_FINISHING) {
             tokio::select! {
                 () = self.finish_timeout() => {}
@@ -120,8 +120,8 @@
 
     /// Fetches the listing of a version in advance, as the origin may be unavailable by the
     /// time the version is brought. Never completes.
-    async fn prefetch_listing(&self, wanted: &Wanted) {
-        self.collector.manifest(wanted).await;
+    async fn prefetch_listing(&self, desired: &DesiredVersion) {
+        self.collector.manifest(desired).await;
         std::future::pending().await
     }
 
@@ -140,49 +140,49 @@
 
     /// Brings a version into the engine; ends when what is wanted has to be looked
     /// at anew.
-    async fn bring(&self, wanted: &Wanted) -> Result<()> {
+    async fn bring(&self, desired: &DesiredVersion) -> Result<()> {
         // Until its listing is known, nothing of it is there.
         *self.current() = None;
-        let manifest = self.collector.manifest(wanted).await;
+        let manifest = self.collector.manifest(desired).await;
         *self.current() = Some(manifest.digest());
         let latest = self.reporter.subscribe().borrow().clone();
-        let runs = latest.is_some_and(|report| wanted.runs_in(&report));
-        self.collector.take_staged(wanted, &manifest).await;
+        let runs = latest.is_some_and(|report| desired.runs_in(&report));
+        self.collector.cache_staged(desired, &manifest).await;
         if runs && self.collector.all_chunks(manifest.digest()).is_some() {
-            return self.rest(wanted).await;
+            return self.rest(desired).await;
         }
-        let changeover = self.changeover(wanted);
+        let changeover = self.changeover(desired);
         tokio::select! {
             biased;
-            collected = self.collector.collect(wanted, &manifest) => collected?,
-            () = self.collector.listed_anew(wanted) => bail!("its listing was wrong"),
-            () = self.close_early(wanted, &manifest), if changeover == Changeover::First => {}
+            collected = self.collector.collect(desired, &manifest) => collected?,
+            () = self.collector.listing_changed(desired) => bail!("its listing was wrong"),
+            () = self.close_early(desired, &manifest), if changeover == Changeover::First => {}
         }
         tracing::info!(
-            version = %wanted.version,
-            after_ms = wanted.since.elapsed().as_millis() as u64,
+            version = %desired.version,
+            after_ms = desired.since.elapsed().as_millis() as u64,
             "weights collected"
         );
         if runs {
             return Ok(());
         }
-        let load = Load { engine: self.engine.as_ref(), reporter: &self.reporter, wanted };
+        let load = Load { engine: self.engine.as_ref(), reporter: &self.reporter, desired };
         let chunks = self.collector.all_chunks(manifest.digest()).context("chunks are gone")?;
         tokio::select! {
             biased;
             loaded = load.run(&manifest, chunks, changeover) => loaded?,
-            () = self.collect_next(wanted) => {}
+            () = self.collect_next(desired) => {}
         }
-        self.collector.forget_before(wanted);
+        self.collector.evict_before(desired);
         Ok(())
     }
 
     /// Waits until the engine forgets the version, or another one is wanted.
-    async fn rest(&self, wanted: &Wanted) -> Result<()> {
+    async fn rest(&self, desired: &DesiredVersion) -> Result<()> {
         let mut reports = self.reporter.subscribe();
-        while self.plans.wanted().as_ref() == Some(wanted) {
+        while self.plans.desired().as_ref() == Some(desired) {
             reports.changed().await?;
-            if reports.borrow().as_ref().is_some_and(|report| !wanted.runs_in(report)) {
+            if reports.borrow().as_ref().is_some_and(|report| !desired.runs_in(report)) {
                 break;
             }
         }
@@ -190,37 +190,37 @@
     }
 
     /// When the engine goes over to a version.
-    fn changeover(&self, wanted: &Wanted) -> Changeover {
+    fn changeover(&self, desired: &DesiredVersion) -> Changeover {
         let plan = self.plans.newest();
         let names: Vec<_> = plan.peers.iter().map(|peer| peer.engine.ip().to_string()).collect();
         let engines = plan.peers.iter().zip(&names);
         let engines: Vec<_> =
             engines.map(|(peer, name)| (peer.zone.as_str(), name.as_str())).collect();
         let own = (self.collector.own.zone.as_str(), self.collector.own.instance.as_str());
-        Changeover::of_wave(wave(&wanted.to_string(), own, &engines))
+        Changeover::of_wave(wave(&desired.to_string(), own, &engines))
     }
 
     /// Closes the engine once the rest of its weights is about to come in.
-    async fn close_early(&self, wanted: &Wanted, manifest: &Manifest) {
+    async fn close_early(&self, desired: &DesiredVersion, manifest: &Manifest) {
         let spacing = self.collector.origin_spacing(manifest);
         let should_close = |(held, total)| should_close_early(held, total, spacing);
         while !self.collector.progress(manifest.digest()).is_some_and(should_close) {
             sleep(LOOK).await;
         }
         if self.plans.newest().peers.len() > 1 {
-            self.reporter.set_open(false).await;
+            self.reporter.set_accepts_requests(false).await;
             sleep(CLOSED_IN_VAIN).await;
-            tracing::warn!(version = %wanted.version, "closed for weights that do not come");
-            self.reporter.set_open(true).await;
+            tracing::warn!(version = %desired.version, "closed for weights that do not come");
+            self.reporter.set_accepts_requests(true).await;
         }
         std::future::pending().await
     }
 
     /// Collects the version after this one, should it be wanted meanwhile.
-    async fn collect_next(&self, wanted: &Wanted) {
+    async fn collect_next(&self, desired: &DesiredVersion) {
         let mut plans = self.plans.subscribe();
         loop {
-            if let Some(next) = self.plans.wanted().filter(|next| next != wanted) {
+            if let Some(next) = self.plans.desired().filter(|next| next != desired) {
                 let collected = async {
                     let manifest = self.collector.manifest(&next).await;
                     self.collector.collect(&next, &manifest).await
--- a/src/cinderspoke/staging/listings.rs
+++ b/src/cinderspoke/staging/listings.rs
@@ -23,7 +23,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use super::plan::Wanted;
+use super::plan::DesiredVersion;
 use crate::gateway::message::pack;
 use crate::util::http::{Call, Client};
 
@@ -61,8 +61,8 @@
     }
 
     /// The chunks of a version, if its listing is known.
-    pub(super) fn known(&self, wanted: &Wanted) -> Option<Manifest> {
-        self.known.borrow().get(&key(wanted)).map(manifest)
+    pub(super) fn known(&self, desired: &DesiredVersion) -> Option<Manifest> {
+        self.known.borrow().get(&key(desired)).map(manifest)
     }
 
     /// The chunks of a version; asks as its tree says until someone tells them.
@@ -70,20 +70,20 @@
     /// `tree` and `origin` give whom to ask as it is known at each attempt.
     pub(super) async fn find(
         &self,
-        wanted: &Wanted,
+        desired: &DesiredVersion,
         tree: impl Fn() -> Tree,
         origin: impl Fn() -> Result<Arc<dyn Origin>>,
     ) -> Manifest {
         let mut attempt = 0;
         loop {
-            if let Some(manifest) = self.known(wanted) {
+            if let Some(manifest) = self.known(desired) {
                 return manifest;
             }
             let (from, result) = match tree().source(attempt) {
-                Source::Origin => ("origin", self.read(wanted, origin()).await),
-                Source::Peer(peer) => ("agent", self.ask(wanted, peer.address).await),
+                Source::Origin => ("origin", self.read(desired, origin()).await),
+                Source::Peer(peer) => ("agent", self.ask(desired, peer.address).await),
             };
-            let version = wanted.version;
+            let version = desired.version;
             match result {
                 Ok(()) => tracing::info!(%version, from, attempt, "listing known"),
                 Err(error) => {
@@ -101,37 +101,37 @@
     /// # Errors
     ///
     /// When the origin does not give it.
-    pub(super) async fn read_again(
+    pub(super) async fn refetch(
         &self,
-        wanted: &Wanted,
+        desired: &DesiredVersion,
         origin: Result<Arc<dyn Origin>>,
     ) -> Result<bool> {
-        let before = self.known(wanted);
-        self.read(wanted, origin).await?;
-        Ok(self.known(wanted) != before)
+        let before = self.known(desired);
+        self.read(desired, origin).await?;
+        Ok(self.known(desired) != before)
     }
 
     /// Reads a listing from the origin.
-    async fn read(&self, wanted: &Wanted, origin: Result<Arc<dyn Origin>>) -> Result<()> {
+    async fn read(&self, desired: &DesiredVersion, origin: Result<Arc<dyn Origin>>) -> Result<()> {
         let origin = origin?;
-        let read = timeout(ORIGIN_TIMEOUT, origin.listing(&wanted.model, wanted.version)).await;
-        self.keep(wanted, read.context("the origin took too long")??);
+        let read = timeout(ORIGIN_TIMEOUT, origin.listing(&desired.model, desired.version)).await;
+        self.keep(desired, read.context("the origin took too long")??);
         Ok(())
     }
 
     /// Asks another agent for a listing; it may wait for that itself.
-    async fn ask(&self, wanted: &Wanted, address: SocketAddr) -> Result<()> {
-        let Wanted { model, version, .. } = wanted;
+    async fn ask(&self, desired: &DesiredVersion, address: SocketAddr) -> Result<()> {
+        let DesiredVersion { model, version, .. } = desired;
         let path =
             format!("/v1/listings?model={model}&version={version}&wait_ms={}", WAIT.as_millis());
         let answer = self.client.fetch(Call::get(address, path).timeout(WAIT + MARGIN)).await?;
-        self.keep(wanted, postcard::from_bytes(&answer).context("reading a listing")?);
+        self.keep(desired, postcard::from_bytes(&answer).context("reading a listing")?);
         Ok(())
     }
 
     /// Keeps a listing, and gives it to the agents that wait for it.
-    fn keep(&self, wanted: &Wanted, listing: Listing) {
-        self.known.send_modify(|known| _ = known.insert(key(wanted), listing));
+    fn keep(&self, desired: &DesiredVersion, listing: Listing) {
+        self.known.send_modify(|known| _ = known.insert(key(desired), listing));
     }
 
     /// Forgets all versions but those that are kept; gives the others' chunks.
@@ -151,8 +151,8 @@
 }
 
 /// The version that is wanted, as listings are kept by it.
-fn key(wanted: &Wanted) -> Key {
-    (wanted.model.clone(), wanted.version)
+fn key(desired: &DesiredVersion) -> Key {
+    (desired.model.clone(), desired.version)
 }
 
 /// A listing as transfers use it.
@@ -163,7 +163,7 @@
 
 /// Which listing another agent asks for, and how long it waits.
 #[derive(Debug, Deserialize)]
-struct Asked {
+struct ListingQuery {
     model: String,
     version: u64,
     wait_ms: u64,
@@ -172,7 +172,7 @@
 /// Tells a listing as soon as it is known; 404 when the wait is over.
 async fn tell(
     State(listings): State<Arc<Listings>>,
-    Query(asked): Query<Asked>,
+    Query(asked): Query<ListingQuery>,
 ) -> Result<Bytes, StatusCode> {
     let key = (Model::from(asked.model.as_str()), Version(asked.version));
     let wait = Duration::from_millis(asked.wait_ms).min(WAIT);
--- a/src/cinderspoke/staging/load.rs
+++ b/src/cinderspoke/staging/load.rs
@@ -10,7 +10,7 @@
 use cinderspoke_ports::gateway::{Engine, EngineReport, OrderOutcome, Switch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::plan::Wanted;
+use super::plan::DesiredVersion;
 use super::report::Reporter;
 
 /// How often the engine is asked whether anything still runs in it.
@@ -31,7 +31,7 @@
 pub(super) struct Load<'a> {
     pub(super) engine: &'a dyn Engine,
     pub(super) reporter: &'a Reporter,
-    pub(super) wanted: &'a Wanted,
+    pub(super) desired: &'a DesiredVersion,
 }
 
 impl Load<'_> {
@@ -42,7 +42,7 @@
         chunks: Vec<Bytes>,
         changeover: Changeover,
     ) -> Result<()> {
-        let Wanted { model, version, since } = self.wanted;
+        let DesiredVersion { model, version, since } = self.desired;
         let collected = Instant::now();
         for (number, bytes) in chunks.into_iter().enumerate() {
             self.engine.stage(model, number, bytes).await?;
@@ -50,7 +50,7 @@
         let idle = self.is_idle().await?;
         if !idle {
             sleep_until(collected + changeover.close_after()).await;
-            self.reporter.set_open(false).await;
+            self.reporter.set_accepts_requests(false).await;
             self.drain(collected + changeover.abort_after()).await?;
         }
         self.check_staged(manifest).await?;
@@ -61,7 +61,7 @@
             OrderOutcome::Rejected => bail!("the order does not fit the engine's state"),
         }
         let loaded = timeout(LOADING, self.loaded(report.start)).await;
-        self.reporter.set_open(true).await;
+        self.reporter.set_accepts_requests(true).await;
         loaded.context("the engine did not load in time")??;
         tracing::info!(
             %version,
@@ -106,7 +106,7 @@
     /// Reads back what was staged: it may have turned bad since.
     async fn check_staged(&self, manifest: &Manifest) -> Result<()> {
         for chunk in 0..manifest.chunks() {
-            let bytes = self.engine.staged(&self.wanted.model, chunk).await?;
+            let bytes = self.engine.staged(&self.desired.model, chunk).await?;
             let digest = bytes.map(|bytes| manifest.algorithm().chunk(&bytes));
             if digest != manifest.chunk(chunk) {
                 bail!("chunk {chunk} turned bad where it was staged");
@@ -123,7 +123,7 @@
             reports.changed().await?;
             let report = reports.borrow_and_update().clone();
             let Some(report) = report else { bail!("the engine was lost while it loaded") };
-            if self.wanted.runs_in(&report) && !report.busy {
+            if self.desired.runs_in(&report) && !report.busy {
                 return Ok(());
             }
             let forgot = !report.busy && report.models.is_empty() && report.orders == 0;
--- a/src/cinderspoke/staging/mod.rs
+++ b/src/cinderspoke/staging/mod.rs
@@ -147,7 +147,7 @@
             listings,
         };
         let fetcher = Fetcher::new(Arc::clone(&reporter), collector);
-        tokio::spawn(stop::until(stop.clone(), Arc::clone(&reporter).report()));
+        tokio::spawn(stop::until(stop.clone(), Arc::clone(&reporter).run()));
         tokio::spawn(stop::until(stop.clone(), reporter.listen()));
         tokio::spawn(stop::until(stop.clone(), fetcher.run()));
         tracing::info!(instance = %*settings.instance, engine = %beside.address, "agent started");
--- a/src/cinderspoke/staging/plan.rs
+++ b/src/cinderspoke/staging/plan.rs
@@ -25,7 +25,7 @@
 
 /// A model's version that is wanted.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredVersion {
     /// The model.
     pub model: Model,
     /// The version.
@@ -34,7 +34,7 @@
     pub since: Instant,
 }
 
-impl Wanted {
+impl DesiredVersion {
     /// Whether an engine holds it whole.
     #[must_use]
     pub fn runs_in(&self, report: &EngineReport) -> bool {
@@ -44,7 +44,7 @@
 }
 
 /// The text by whose hash versions are told apart.
-impl fmt::Display for Wanted {
+impl fmt::Display for DesiredVersion {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} {}", self.model, self.version)
     }
@@ -57,7 +57,7 @@
     client: Client,
     seeds: ArcSwap<Vec<SocketAddr>>,
     plan: watch::Sender<Plan>,
-    wanted: Mutex<Option<Wanted>>,
+    desired: Mutex<Option<DesiredVersion>>,
     // Kept for gateways that start when no other one is left to ask.
     timeline: Mutex<Timeline>,
     clock: Clock,
@@ -73,7 +73,7 @@
             client,
             seeds: ArcSwap::from_pointee(seed_addresses(settings)),
             plan: watch::Sender::new(Plan::default()),
-            wanted: Mutex::default(),
+            desired: Mutex::default(),
             timeline: Mutex::default(),
             clock: Clock::start(),
         }
@@ -86,7 +86,7 @@
 
     /// Whether a gateway of a region is one of the own region.
     #[must_use]
-    pub fn is_near(&self, region: &Region) -> bool {
+    pub fn is_local(&self, region: &Region) -> bool {
         self.region == *region
     }
 
@@ -116,8 +116,8 @@
 
     /// The version that is wanted, once a plan is known.
     #[must_use]
-    pub fn wanted(&self) -> Option<Wanted> {
-        self.wanted.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub fn desired(&self) -> Option<DesiredVersion> {
+        self.desired.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     fn timeline(&self) -> MutexGuard<'_, Timeline> {
@@ -161,10 +161,10 @@
             return;
         };
         let version = plan.rollout.version(&model);
-        let mut wanted = self.wanted.lock().unwrap_or_else(PoisonError::into_inner);
-        if wanted.as_ref().is_none_or(|known| known.model != model || known.version < version) {
+        let mut desired = self.desired.lock().unwrap_or_else(PoisonError::into_inner);
+        if desired.as_ref().is_none_or(|known| known.model != model || known.version < version) {
             tracing::info!(%model, %version, peers = plan.peers.len(), "version wanted");
-            *wanted = Some(Wanted { model, version, since: Instant::now() });
+            *desired = Some(DesiredVersion { model, version, since: Instant::now() });
         }
     }
 }
--- a/src/cinderspoke/staging/reads.rs
+++ b/src/cinderspoke/staging/reads.rs
@@ -1,7 +1,7 @@
-//! Reads of plans that are under way.
+//! Limiter of plans that are under way.
 //!
 //! All gateways hint an agent at a new plan at once, and again until it knows it.
-//! Read from each of them, the copies would fill a narrow link for seconds, and
+//! Permit from each of them, the copies would fill a narrow link for seconds, and
 //! requests would wait behind them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,38 +20,38 @@
 /// quickly while endpoints come and go, and gateways hint again.
 const PAUSE: Duration = Duration::from_millis(150);
 
-/// Reads that are under way.
-// Invariant: at most `MOST`, each by when it began; all begin at different timeouts.
+/// Limiter that are under way.
+// Invariant: at most `MOST`, each by when it began; all try_acquire at different timeouts.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Reads(Arc<Mutex<Vec<Instant>>>);
+pub(super) struct Limiter(Arc<Mutex<Vec<Instant>>>);
 
 /// A read that may be made.
 #[derive(Debug)]
-pub(super) struct Read {
-    reads: Reads,
+pub(super) struct Permit {
+    reads: Limiter,
     began: Instant,
 }
 
-impl Reads {
+impl Limiter {
     fn lock(&self) -> MutexGuard<'_, Vec<Instant>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Begins a read, unless another one is under way and not late.
-    pub(super) fn begin(&self) -> Option<Read> {
+    pub(super) fn try_acquire(&self) -> Option<Permit> {
         let (now, mut under_way) = (Instant::now(), self.lock());
         let all_late = under_way.iter().all(|began| *began + HEDGE <= now);
         if under_way.len() >= MOST || !all_late {
             return None;
         }
         under_way.push(now);
-        Some(Read { reads: self.clone(), began: now })
+        Some(Permit { reads: self.clone(), began: now })
     }
 }
 
-impl Read {
-    /// Ends the read; another may begin after a pause.
-    pub(super) async fn end(self) {
+impl Permit {
+    /// Ends the read; another may try_acquire after a pause.
+    pub(super) async fn release(self) {
         sleep(PAUSE).await;
         self.reads.lock().retain(|began| *began != self.began);
     }
--- a/src/cinderspoke/staging/report.rs
+++ b/src/cinderspoke/staging/report.rs
@@ -19,7 +19,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use super::plan::Plans;
-use super::reads::Reads;
+use super::reads::Limiter;
 use crate::gateway::message::{Datagram, buffer, pack, receive, send};
 use crate::util::clock::Clock;
 
@@ -57,7 +57,7 @@
     reservations: Mutex<reservation::Table>,
     // What chunks tell of the link.
     link: Arc<Mutex<Link>>,
-    reads: Reads,
+    reads: Limiter,
 }
 
 /// The newest word from a gateway.
@@ -88,7 +88,7 @@
         let clock = Clock::start();
         let (heard, tally, reservations) = (Mutex::default(), Mutex::default(), Mutex::default());
         let process = rand::random();
-        let reads = Reads::default();
+        let reads = Limiter::default();
         Self {
             own,
             address,
@@ -116,7 +116,7 @@
     }
 
     /// Says whether the engine is to get new requests; gateways learn of it at once.
-    pub async fn set_open(&self, open: bool) {
+    pub async fn set_accepts_requests(&self, open: bool) {
         self.open.store(open, Ordering::Relaxed);
         let latest = self.latest.borrow().clone();
         if let Some(report) = latest {
@@ -126,22 +126,22 @@
 
     /// Whether the engine is to get new requests.
     #[must_use]
-    pub fn is_open(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.open.load(Ordering::Relaxed)
     }
 
     /// Asks and tells for as long as the program runs.
-    pub async fn report(self: Arc<Self>) {
+    pub async fn run(self: Arc<Self>) {
         let mut ticks = interval(PERIOD);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.ask().await;
+            self.poll_engine().await;
         }
     }
 
     /// Asks the engine once and tells the gateways whose turn it is what it said.
-    pub async fn ask(&self) {
+    pub async fn poll_engine(&self) {
         match self.engine.report().await {
             Ok(report) => {
                 self.tell(&report, self.next_told()).await;
@@ -184,7 +184,7 @@
     /// What the engine said, with what is known of it beside that.
     fn load(&self, report: &EngineReport, now: Duration) -> Report {
         Report {
-            accepts_requests: self.is_open(),
+            accepts_requests: self.accepts_requests(),
             last_contact_age: self.deaf(now),
             is_congested: self.is_congested(now),
             process: self.process,
@@ -301,7 +301,7 @@
                 Datagram::Hint { from, region, plan_hash: plan }
                     if plan != self.plans.newest().hash() =>
                 {
-                    let wait = if self.plans.is_near(&region) { Duration::ZERO } else { NEARBY };
+                    let wait = if self.plans.is_local(&region) { Duration::ZERO } else { NEARBY };
                     tokio::spawn(Arc::clone(&self).read_hinted(from, plan, wait));
                 }
                 _ => {}
@@ -309,16 +309,16 @@
         }
     }
 
-    /// Reads a plan that a gateway hinted at, unless it is known or being read after a wait.
+    /// Limiter a plan that a gateway hinted at, unless it is known or being read after a wait.
     async fn read_hinted(self: Arc<Self>, from: SocketAddr, plan: u64, wait: Duration) {
         sleep(wait).await;
         if plan == self.plans.newest().hash() {
             return;
         }
-        let Some(read) = self.reads.begin() else { return };
+        let Some(read) = self.reads.try_acquire() else { return };
         if let Err(error) = self.plans.fetch(from).await {
             tracing::debug!(%from, error = format!("{error:#}"), "reading a plan");
         }
-        read.end().await;
+        read.release().await;
     }
 }
--- a/tests/testsuite/staging.rs
+++ b/tests/testsuite/staging.rs
@@ -303,7 +303,7 @@
     let reporter =
         Reporter::new(own, beside, plans, Arc::new(Empty::default()), Arc::default(), socket);
     tokio::time::advance(Duration::from_secs(2)).await;
-    reporter.ask().await;
+    reporter.poll_engine().await;
     let Datagram::Report { report, .. } = receive(&gateway, &mut buffer()).await else {
         panic!("no report came");
     };
@@ -324,7 +324,7 @@
     let (own, beside) = (socket.local_addr().unwrap(), settings.beside.as_ref().unwrap());
     let engine = Arc::new(Empty::default());
     let reporter = Arc::new(Reporter::new(own, beside, plans, engine, Arc::default(), socket));
-    reporter.ask().await;
+    reporter.poll_engine().await;
     let listening = tokio::spawn(Arc::clone(&reporter).listen());
     let asks = async |ear: &UdpSocket, number: u64| {
         let (from, asked) = (ear.local_addr().unwrap(), Duration::from_millis(number));
@@ -372,7 +372,7 @@
     let (own, beside) = (socket.local_addr().unwrap(), settings.beside.as_ref().unwrap());
     let reporter =
         Reporter::new(own, beside, plans, Arc::new(Empty::default()), Arc::default(), socket);
-    reporter.ask().await;
+    reporter.poll_engine().await;
     let Datagram::Report { ages, echo: true, .. } = receive(&ear, &mut buffer()).await else {
         panic!("no report came that asks for an echo");
     };
