--- a/src/cinderspoke/staging/collect.rs
+++ b/src/cinderspoke/staging/collect.rs
@@ -1,4 +1,4 @@
-//! Collecting the chunks of versions from peers, the origin and the engine itself.
+//! Collects the chunks of versions from peers, the origin and the engine itself.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -26,38 +26,38 @@
 use crate::agent::transfer::{self, Members, collect};
 use crate::gateway::message::Plan;
 
-/// What origin bytes count against time: little, since every second without
-/// weights is a second without answers.
+/// The cost of bytes from the origin relative to time. Low, since an engine without weights
+/// answers no requests.
 const ORIGIN_WEIGHT: f64 = 0.5;
 
-/// How long a version may take to be collected before its listing is doubted:
-/// several times as long as its chunks take over a link that carries what it should.
-const DOUBT: Duration = Duration::from_secs(10);
+/// How long collecting a version may take before its listing is read again, as it may be corrupt:
+/// several times as long as its chunks take over a link of its declared rate.
+const LISTING_RECHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The longest that chunks are held apart for the origin, in seconds, however
-/// slow its link is said to be.
-const MOST_SPACING_S: f64 = 1.0;
+/// The maximum time between two chunks from the origin, in seconds, however slow the declared
+/// rate of its link.
+const MAX_SPACING_S: f64 = 1.0;
 
 /// Collects versions of weights for one engine.
 pub(super) struct Collector {
-    /// This agent, as swarms name it.
+    /// This agent, as a member of swarms.
     pub(super) own: Peer,
-    /// The port of agents on every instance.
+    /// The port on which the agents of all instances listen.
     pub(super) port: u16,
-    /// What is wanted, and of whom it can be had.
+    /// The newest plan: the desired version, the origins and the peers.
     pub(super) plans: Arc<Plans>,
-    /// The engine, in which chunks may be staged already.
+    /// The engine, which may have chunks staged already.
     pub(super) engine: Arc<dyn Engine>,
-    /// How origins are reached.
+    /// Connects to origins.
     pub(super) open_origin: OpenOrigin,
-    /// What all transfers share; the origin is put in for each.
+    /// The context that all transfers share; each transfer sets its own origin.
     pub(super) transfers: transfer::Context,
-    /// The listings of versions that may still be asked for.
+    /// The listings of versions that peers may still request.
     pub(super) listings: Arc<Listings>,
 }
 
 impl Collector {
-    /// The chunks of a version, as the origin lists them; asks until they are known.
+    /// Finds the manifest of a version from its listing at the origin, retrying until it is known.
     pub(super) async fn manifest(&self, desired: &DesiredVersion) -> Manifest {
         let version = Key::of(&desired.to_string());
         let tree = || Tree::new(version, &self.own, &self.members(&self.plans.newest()).peers);
@@ -66,10 +66,10 @@
 
     /// Waits until the origin lists other chunks for a version than before.
     ///
-    /// A listing may have come spoilt, and no chunk would ever fit it.
+    /// A listing may have been corrupted in transit, and then no chunk would ever match it.
     pub(super) async fn listing_changed(&self, desired: &DesiredVersion) {
         loop {
-            sleep(DOUBT).await;
+            sleep(LISTING_RECHECK_INTERVAL).await;
             let origin = self.origin().map(|origin| self.open(origin));
             match self.listings.refetch(desired, origin).await {
                 Ok(true) => return,
@@ -82,28 +82,29 @@
         }
     }
 
-    /// Forgets versions that no engine goes over to any more.
+    /// Evicts versions that no engine switches to any more.
     pub(super) fn evict_before(&self, desired: &DesiredVersion) {
-        // The one before may still be what a slower peer collects.
-        let kept = |model: &Model, version: Version| {
+        // A slower peer may still be collecting the preceding version.
+        let is_needed = |model: &Model, version: Version| {
             *model == desired.model && version.0 + 1 >= desired.version.0
         };
-        for manifest in self.listings.retain(kept) {
+        for manifest in self.listings.retain(is_needed) {
             self.transfers.cache.remove_version(manifest.digest());
         }
     }
 
-    /// The origin, as plans declare it.
+    /// The origin that the newest plan declares.
     fn origin(&self) -> Result<Declared> {
         self.plans.newest().origins.first().copied().context("no origin is known")
     }
 
-    /// The origin, ready to be read from.
+    /// Connects to a declared origin.
     fn open(&self, origin: Declared) -> Arc<dyn Origin> {
         (self.open_origin)(origin.address)
     }
 
-    /// Takes in what is staged already: it outlives the agent and the engine.
+    /// Adds chunks that are staged already to the cache: staged chunks outlive the processes of
+    /// the agent and the engine.
     pub(super) async fn cache_staged(&self, desired: &DesiredVersion, manifest: &Manifest) {
         let cache = &self.transfers.cache;
         let held = cache.add_version(manifest);
@@ -116,21 +117,21 @@
             if manifest.chunk(chunk) == Some(digest) {
                 cache.insert(digest, bytes);
             } else if chunk == 0 {
-                // Most likely another version lies there.
+                // Most likely the staged chunks are of another version.
                 return;
             }
         }
     }
 
-    /// The number of chunks held and the total for a version, if the cache tracks it.
+    /// The number of cached chunks and the total for a version, if the cache tracks it.
     pub(super) fn progress(&self, manifest: Digest) -> Option<(usize, usize)> {
         self.transfers.cache.progress(manifest)
     }
 
-    /// Whether a part of a version's chunks is there.
-    pub(super) fn has_part(&self, manifest: Digest, part: f64) -> bool {
+    /// Whether a share of a version's chunks is cached.
+    pub(super) fn has_share(&self, manifest: Digest, share: f64) -> bool {
         let progress = self.progress(manifest);
-        progress.is_some_and(|(held, total)| held as f64 >= total as f64 * part)
+        progress.is_some_and(|(held, total)| held as f64 >= total as f64 * share)
     }
 
     /// The time the origin's link needs per chunk of a version, from its declared rate; zero if
@@ -140,7 +141,7 @@
         spacing(manifest.as_raw().chunk_size.as_u64(), rate)
     }
 
-    /// The chunks of a version, if all are there.
+    /// The chunks of a version, if all are cached.
     pub(super) fn all_chunks(&self, manifest: Digest) -> Option<Vec<Bytes>> {
         self.transfers.cache.all_chunks(manifest)
     }
@@ -161,7 +162,7 @@
         }
     }
 
-    /// What the transfer of one version needs.
+    /// Creates the context for the transfer of one version.
     fn context(&self, desired: &DesiredVersion, manifest: &Manifest) -> Result<transfer::Context> {
         let declared = self.origin()?;
         let chunk_bytes = manifest.as_raw().chunk_size.as_u64();
@@ -180,7 +181,7 @@
         })
     }
 
-    /// Keeps the members of the swarm as plans name them; never ends.
+    /// Updates the members of the swarm from plans. Never completes.
     async fn follow(
         &self,
         mut plans: watch::Receiver<Plan>,
@@ -197,7 +198,7 @@
         std::future::pending().await
     }
 
-    /// This agent and those of all engines of the service.
+    /// The swarm's members: this agent and those of all engines of the service.
     fn members(&self, plan: &Plan) -> Members {
         let peers = plan.peers.iter();
         let peers =
@@ -206,9 +207,9 @@
     }
 }
 
-/// How long chunks are held apart for the origin: as long as its link takes for
-/// one, by the bytes a second that it is said to carry; zero if that is not known.
+/// The time between two chunks from the origin: as long as its link takes for one chunk at `rate`,
+/// the declared rate in bytes per second. Zero if no rate is known.
 fn spacing(chunk_bytes: u64, rate: f64) -> Duration {
     let seconds = if rate > 0.0 { chunk_bytes as f64 / rate } else { 0.0 };
-    Duration::from_secs_f64(seconds.min(MOST_SPACING_S))
+    Duration::from_secs_f64(seconds.min(MAX_SPACING_S))
 }
--- a/src/cinderspoke/staging/fetch.rs
+++ b/src/cinderspoke/staging/fetch.rs
@@ -1,4 +1,4 @@
-//! Bringing the wanted version into the engine.
+//! Fetches the desired version and has the engine load it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -15,39 +15,38 @@
 use super::plan::{DesiredVersion, Plans};
 use super::report::Reporter;
 
-/// How long to wait after something failed.
-const RETRY: Duration = Duration::from_millis(200);
+/// Delay before another attempt after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The part of a version that has to be there for it to be finished although a
-/// newer one is wanted.
-const WORTH_FINISHING: f64 = 0.25;
+/// The share of a version's chunks that has to be cached for the version to be finished although
+/// a newer one is desired.
+const MIN_SHARE_TO_FINISH: f64 = 0.25;
 
-/// How long the rest of the chunks of a version that is finished may take to come:
-/// somewhat more than its part of a whole spread.
-const COLLECT_REST: Duration = Duration::from_millis(2000);
+/// How long the missing chunks of a version being finished may take: somewhat more than their
+/// share of the time in which a whole version spreads.
+const COLLECT_REST_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// How long a version may take to be finished: what is left of its spread, and
-/// the changeover.
-const FINISH: Duration = Duration::from_millis(3800);
+/// How long finishing a version may take in all: the rest of its spread, and the changeover.
+const FINISH_TIMEOUT: Duration = Duration::from_millis(3800);
 
-/// How often it is looked how much has come.
-const LOOK: Duration = Duration::from_millis(25);
+/// How often the number of cached chunks is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long an engine stays closed for weights that do not come.
-const CLOSED_IN_VAIN: Duration = Duration::from_millis(1500);
+/// How long an engine that was closed early stays closed while its weights are not complete.
+const CLOSED_EARLY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Brings wanted versions into the engine.
+/// Fetches each desired version and has the engine load it.
 pub struct Fetcher {
     reporter: Arc<Reporter>,
     plans: Arc<Plans>,
     engine: Arc<dyn Engine>,
     collector: Collector,
-    // What is being brought, or was last.
+    // The manifest of the version being fetched or fetched last.
     current: Mutex<Option<Digest>>,
 }
 
 impl Fetcher {
-    /// Brings what a collector collects into its engine.
+    /// Creates a fetcher for a collector's engine.
     #[must_use]
     pub(super) fn new(reporter: Arc<Reporter>, collector: Collector) -> Self {
         let (plans, engine) = (Arc::clone(&collector.plans), Arc::clone(&collector.engine));
@@ -58,7 +57,7 @@
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Brings whatever version is wanted, for as long as the program runs.
+    /// Installs each desired version, for as long as the process runs.
     pub async fn run(self) {
         let mut plans = self.plans.subscribe();
         loop {
@@ -74,21 +73,21 @@
                 () = superseded => {
                     tracing::info!(version = %desired.version, "a newer version is wanted");
                 }
-                result = self.bring(&desired) => if let Err(error) = result {
+                result = self.install(&desired) => if let Err(error) = result {
                     let error = format!("{error:#}");
                     tracing::warn!(version = %desired.version, error, "bringing a version");
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
             self.reporter.set_accepts_requests(true).await;
         }
     }
 
-    /// Waits until a newer version is wanted so much that this one is given up.
+    /// Waits until a newer version is desired and this one is to be abandoned for it.
     ///
-    /// All finish what is nearly there: no engine may answer with the version
-    /// before it for much longer, and the newer one needs as long again. They do
-    /// so together, since each holds chunks that the others still lack.
+    /// A version of which enough chunks are cached is finished first: no engine may answer with
+    /// the version before it for much longer, and the newer version takes as long again. All
+    /// agents finish it together, since each holds chunks that others still lack.
     async fn superseded(&self, desired: &DesiredVersion) {
         let mut changes = self.plans.subscribe();
         let newer = loop {
@@ -100,7 +99,7 @@
             }
         };
         let follows = newer.model == desired.model && newer.version.0 == desired.version.0 + 1;
-        if follows && self.has_part(WORTH_FINISHING) {
+        if follows && self.has_share(MIN_SHARE_TO_FINISH) {
             tokio::select! {
                 () = self.finish_timeout() => {}
                 () = self.prefetch_listing(&newer) => {}
@@ -109,39 +108,39 @@
     }
 
     /// Waits until the time allowed for finishing the current version has elapsed:
-    /// `COLLECT_REST` if chunks are still missing by then, `FINISH` otherwise.
+    /// `COLLECT_REST_TIMEOUT` if chunks are still missing by then, `FINISH_TIMEOUT` otherwise.
     async fn finish_timeout(&self) {
         let began = Instant::now();
-        let whole = timeout(COLLECT_REST, self.until_whole()).await.is_ok();
-        if whole {
-            sleep_until(began + FINISH).await;
+        let is_complete = timeout(COLLECT_REST_TIMEOUT, self.wait_complete()).await.is_ok();
+        if is_complete {
+            sleep_until(began + FINISH_TIMEOUT).await;
         }
     }
 
     /// Fetches the listing of a version in advance, as the origin may be unavailable by the
-    /// time the version is brought. Never completes.
+    /// time the version is fetched. Never completes.
     async fn prefetch_listing(&self, desired: &DesiredVersion) {
         self.collector.manifest(desired).await;
         std::future::pending().await
     }
 
-    /// Whether a part of the chunks of what is being brought is there.
-    fn has_part(&self, part: f64) -> bool {
+    /// Whether a share of the current version's chunks is cached.
+    fn has_share(&self, share: f64) -> bool {
         let manifest = *self.current();
-        manifest.is_some_and(|manifest| self.collector.has_part(manifest, part))
+        manifest.is_some_and(|manifest| self.collector.has_share(manifest, share))
     }
 
-    /// Waits until all chunks of what is being brought are there.
-    async fn until_whole(&self) {
-        while !self.has_part(1.0) {
-            sleep(LOOK).await;
+    /// Waits until all chunks of the current version are cached.
+    async fn wait_complete(&self) {
+        while !self.has_share(1.0) {
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Brings a version into the engine; ends when what is wanted has to be looked
-    /// at anew.
-    async fn bring(&self, desired: &DesiredVersion) -> Result<()> {
-        // Until its listing is known, nothing of it is there.
+    /// Fetches a version and has the engine load it. Returns when the desired version has to be
+    /// determined again.
+    async fn install(&self, desired: &DesiredVersion) -> Result<()> {
+        // No chunk counts as cached before the listing is known.
         *self.current() = None;
         let manifest = self.collector.manifest(desired).await;
         *self.current() = Some(manifest.digest());
@@ -149,13 +148,15 @@
         let runs = latest.is_some_and(|report| desired.runs_in(&report));
         self.collector.cache_staged(desired, &manifest).await;
         if runs && self.collector.all_chunks(manifest.digest()).is_some() {
-            return self.rest(desired).await;
+            return self.wait_outdated(desired).await;
         }
         let changeover = self.changeover(desired);
         tokio::select! {
             biased;
             collected = self.collector.collect(desired, &manifest) => collected?,
-            () = self.collector.listing_changed(desired) => bail!("its listing was wrong"),
+            () = self.collector.listing_changed(desired) => {
+                bail!("the origin replaced the version's listing")
+            }
             () = self.close_early(desired, &manifest), if changeover == Changeover::First => {}
         }
         tracing::info!(
@@ -167,7 +168,10 @@
             return Ok(());
         }
         let load = Load { engine: self.engine.as_ref(), reporter: &self.reporter, desired };
-        let chunks = self.collector.all_chunks(manifest.digest()).context("chunks are gone")?;
+        let chunks = self
+            .collector
+            .all_chunks(manifest.digest())
+            .context("chunks were evicted before loading")?;
         tokio::select! {
             biased;
             loaded = load.run(&manifest, chunks, changeover) => loaded?,
@@ -177,8 +181,8 @@
         Ok(())
     }
 
-    /// Waits until the engine forgets the version, or another one is wanted.
-    async fn rest(&self, desired: &DesiredVersion) -> Result<()> {
+    /// Waits until the engine no longer runs the version, or another one is desired.
+    async fn wait_outdated(&self, desired: &DesiredVersion) -> Result<()> {
         let mut reports = self.reporter.subscribe();
         while self.plans.desired().as_ref() == Some(desired) {
             reports.changed().await?;
@@ -189,7 +193,7 @@
         Ok(())
     }
 
-    /// When the engine goes over to a version.
+    /// Determines when the engine switches to a version, by its rollout wave.
     fn changeover(&self, desired: &DesiredVersion) -> Changeover {
         let plan = self.plans.newest();
         let names: Vec<_> = plan.peers.iter().map(|peer| peer.engine.ip().to_string()).collect();
@@ -200,23 +204,24 @@
         Changeover::of_wave(wave(&desired.to_string(), own, &engines))
     }
 
-    /// Closes the engine once the rest of its weights is about to come in.
+    /// Closes the engine to new requests once its weights are nearly complete. Never completes.
     async fn close_early(&self, desired: &DesiredVersion, manifest: &Manifest) {
         let spacing = self.collector.origin_spacing(manifest);
         let should_close = |(held, total)| should_close_early(held, total, spacing);
         while !self.collector.progress(manifest.digest()).is_some_and(should_close) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         if self.plans.newest().peers.len() > 1 {
             self.reporter.set_accepts_requests(false).await;
-            sleep(CLOSED_IN_VAIN).await;
+            sleep(CLOSED_EARLY_TIMEOUT).await;
             tracing::warn!(version = %desired.version, "closed for weights that do not come");
             self.reporter.set_accepts_requests(true).await;
         }
         std::future::pending().await
     }
 
-    /// Collects the version after this one, should it be wanted meanwhile.
+    /// Collects the chunks of a newer version if one becomes desired while this one is loaded.
+    /// Never completes.
     async fn collect_next(&self, desired: &DesiredVersion) {
         let mut plans = self.plans.subscribe();
         loop {
@@ -230,7 +235,7 @@
                     Err(error) => {
                         let error = format!("{error:#}");
                         tracing::debug!(version = %next.version, error, "collecting ahead");
-                        sleep(RETRY).await;
+                        sleep(RETRY_DELAY).await;
                     }
                 }
             } else if plans.changed().await.is_err() {
--- a/src/cinderspoke/staging/listings.rs
+++ b/src/cinderspoke/staging/listings.rs
@@ -1,5 +1,5 @@
-//! The listings of versions' chunks: asked of other agents and the origin, kept,
-//! and told to agents that ask.
+//! Listings of versions' chunks: fetched from other agents and the origin, cached, and served to
+//! other agents.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,47 +27,48 @@
 use crate::gateway::message::pack;
 use crate::util::http::{Call, Client};
 
-/// How long an agent that is asked waits for a listing that it does not have yet.
-const WAIT: Duration = Duration::from_millis(400);
+/// How long another agent waits for a listing that it does not have yet before it answers.
+const PEER_WAIT: Duration = Duration::from_millis(400);
 
-/// How much longer than it waits an agent may take to answer: some round trips,
-/// and the listing on a link that chunks fill.
-const MARGIN: Duration = Duration::from_millis(300);
+/// The time allowed for a peer's answer beyond [`PEER_WAIT`]: some round trips, and the transfer
+/// of the listing over a link saturated by chunks.
+const PEER_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long the origin may take to give a listing, over a link that chunks fill.
+/// Timeout for a listing from the origin, over a link saturated by chunks.
 const ORIGIN_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long to wait after an attempt that brought nothing.
-const RETRY: Duration = Duration::from_millis(100);
+/// Delay after a failed attempt.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A model's version.
 type Key = (Model, Version);
 
-/// The listings that are known.
+/// The known listings, by version.
 pub(super) struct Listings {
     known: watch::Sender<BTreeMap<Key, Listing>>,
     client: Client,
 }
 
 impl Listings {
-    /// None is known yet.
+    /// Creates listings with none known yet.
     pub(super) fn new(client: Client) -> Self {
         Self { known: watch::Sender::default(), client }
     }
 
-    /// What other agents may ask.
+    /// The routes that other agents request.
     pub(super) fn app(self: &Arc<Self>) -> Router {
-        Router::new().route("/v1/listings", get(tell)).with_state(Arc::clone(self))
+        Router::new().route("/v1/listings", get(serve)).with_state(Arc::clone(self))
     }
 
-    /// The chunks of a version, if its listing is known.
+    /// The manifest of a version, if its listing is known.
     pub(super) fn known(&self, desired: &DesiredVersion) -> Option<Manifest> {
         self.known.borrow().get(&key(desired)).map(manifest)
     }
 
-    /// The chunks of a version; asks as its tree says until someone tells them.
+    /// Finds the manifest of a version. Requests its listing from the sources that its tree names
+    /// until one of them returns it.
     ///
-    /// `tree` and `origin` give whom to ask as it is known at each attempt.
+    /// `tree` and `origin` are evaluated at each attempt, as the peers and the origin may change.
     pub(super) async fn find(
         &self,
         desired: &DesiredVersion,
@@ -80,8 +81,8 @@
                 return manifest;
             }
             let (from, result) = match tree().source(attempt) {
-                Source::Origin => ("origin", self.read(desired, origin()).await),
-                Source::Peer(peer) => ("agent", self.ask(desired, peer.address).await),
+                Source::Origin => ("origin", self.fetch_from_origin(desired, origin()).await),
+                Source::Peer(peer) => ("agent", self.fetch_from_peer(desired, peer.address).await),
             };
             let version = desired.version;
             match result {
@@ -89,79 +90,87 @@
                 Err(error) => {
                     let error = format!("{error:#}");
                     tracing::info!(%version, from, attempt, error, "no listing yet");
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                     attempt += 1;
                 }
             }
         }
     }
 
-    /// Reads a listing from the origin anew; true when it is another one than before.
+    /// Fetches a listing from the origin again, and returns whether it has changed.
     ///
     /// # Errors
     ///
-    /// When the origin does not give it.
+    /// When the origin does not return it.
     pub(super) async fn refetch(
         &self,
         desired: &DesiredVersion,
         origin: Result<Arc<dyn Origin>>,
     ) -> Result<bool> {
         let before = self.known(desired);
-        self.read(desired, origin).await?;
+        self.fetch_from_origin(desired, origin).await?;
         Ok(self.known(desired) != before)
     }
 
-    /// Reads a listing from the origin.
-    async fn read(&self, desired: &DesiredVersion, origin: Result<Arc<dyn Origin>>) -> Result<()> {
+    /// Fetches a listing from the origin.
+    async fn fetch_from_origin(
+        &self,
+        desired: &DesiredVersion,
+        origin: Result<Arc<dyn Origin>>,
+    ) -> Result<()> {
         let origin = origin?;
         let read = timeout(ORIGIN_TIMEOUT, origin.listing(&desired.model, desired.version)).await;
-        self.keep(desired, read.context("the origin took too long")??);
+        self.insert(desired, read.context("timed out waiting for the origin's listing")??);
         Ok(())
     }
 
-    /// Asks another agent for a listing; it may wait for that itself.
-    async fn ask(&self, desired: &DesiredVersion, address: SocketAddr) -> Result<()> {
+    /// Fetches a listing from another agent, which may be waiting for it itself.
+    async fn fetch_from_peer(&self, desired: &DesiredVersion, address: SocketAddr) -> Result<()> {
         let DesiredVersion { model, version, .. } = desired;
-        let path =
-            format!("/v1/listings?model={model}&version={version}&wait_ms={}", WAIT.as_millis());
-        let answer = self.client.fetch(Call::get(address, path).timeout(WAIT + MARGIN)).await?;
-        self.keep(desired, postcard::from_bytes(&answer).context("reading a listing")?);
+        let wait_ms = PEER_WAIT.as_millis();
+        let path = format!("/v1/listings?model={model}&version={version}&wait_ms={wait_ms}");
+        let call = Call::get(address, path).timeout(PEER_WAIT + PEER_MARGIN);
+        let answer = self.client.fetch(call).await?;
+        self.insert(
+            desired,
+            postcard::from_bytes(&answer).context("the listing cannot be decoded")?,
+        );
         Ok(())
     }
 
-    /// Keeps a listing, and gives it to the agents that wait for it.
-    fn keep(&self, desired: &DesiredVersion, listing: Listing) {
+    /// Adds a listing, and serves it to the agents that wait for it.
+    fn insert(&self, desired: &DesiredVersion, listing: Listing) {
         self.known.send_modify(|known| _ = known.insert(key(desired), listing));
     }
 
-    /// Forgets all versions but those that are kept; gives the others' chunks.
-    pub(super) fn retain(&self, kept: impl Fn(&Model, Version) -> bool) -> Vec<Manifest> {
-        let mut forgotten = Vec::new();
+    /// Removes the listings for which `keep` is false, and returns their manifests.
+    pub(super) fn retain(&self, keep: impl Fn(&Model, Version) -> bool) -> Vec<Manifest> {
+        let mut removed = Vec::new();
         self.known.send_modify(|known| {
             known.retain(|(model, version), listing| {
-                let kept = kept(model, *version);
-                if !kept {
-                    forgotten.push(manifest(listing));
+                let keep = keep(model, *version);
+                if !keep {
+                    removed.push(manifest(listing));
                 }
-                kept
+                keep
             });
         });
-        forgotten
+        removed
     }
 }
 
-/// The version that is wanted, as listings are kept by it.
+/// The key of a version's listing.
 fn key(desired: &DesiredVersion) -> Key {
     (desired.model.clone(), desired.version)
 }
 
-/// A listing as transfers use it.
+/// Converts a listing to the manifest that transfers use.
 fn manifest(listing: &Listing) -> Manifest {
     let digests = listing.digests.iter().copied().map(Digest::new).collect();
     Manifest::from_chunk_digests(size::Bytes::new(listing.chunk_bytes), digests)
 }
 
-/// Which listing another agent asks for, and how long it waits.
+/// The query parameters of a request for a listing.
 #[derive(Debug, Deserialize)]
 struct ListingQuery {
     model: String,
@@ -169,13 +178,13 @@
     wait_ms: u64,
 }
 
-/// Tells a listing as soon as it is known; 404 when the wait is over.
-async fn tell(
+/// Serves a listing as soon as it is known; 404 if it is not known within the requested wait.
+async fn serve(
     State(listings): State<Arc<Listings>>,
-    Query(asked): Query<ListingQuery>,
+    Query(query): Query<ListingQuery>,
 ) -> Result<Bytes, StatusCode> {
-    let key = (Model::from(asked.model.as_str()), Version(asked.version));
-    let wait = Duration::from_millis(asked.wait_ms).min(WAIT);
+    let key = (Model::from(query.model.as_str()), Version(query.version));
+    let wait = Duration::from_millis(query.wait_ms).min(PEER_WAIT);
     let mut known = listings.known.subscribe();
     let found = timeout(wait, known.wait_for(|known| known.contains_key(&key))).await;
     let found = found.ok().and_then(Result::ok).ok_or(StatusCode::NOT_FOUND)?;
--- a/src/cinderspoke/staging/mod.rs
+++ b/src/cinderspoke/staging/mod.rs
@@ -1,13 +1,12 @@
-//! The program beside a model engine of a platform that names the versions.
+//! The agent beside a model engine on a platform that decides which versions run.
 //!
-//! - [`report`] asks the engine what it does, often and free of charge, tells
-//!   gateways of it, and learns from them what is wanted.
-//! - [`plan`] is what gateways tell of the service, and the version wanted by it;
-//!   `reads` bounds how many copies of it are read at once.
-//! - [`fetch`] brings that version into the engine: `listings` find out of which
-//!   chunks it consists, `collect` draws them from peers (`swarm`) and the origin
-//!   (`source`), and `load` stages them whole and checked, and has the engine go
-//!   over to them in its turn.
+//! - [`report`] polls the engine often, which costs the engine nothing, sends load reports to
+//!   gateways, and receives their hints at new plans.
+//! - [`plan`] holds the service's plan as gateways serve it, and the version desired by it;
+//!   `reads` limits how many copies of a plan are read at once.
+//! - [`fetch`] installs the desired version in the engine: `listings` finds the digests of its
+//!   chunks, `collect` fetches the chunks from peers (`swarm`) and the origin (`source`), and
+//!   `load` stages and verifies them and has the engine switch over in its rollout wave.
 
 mod collect;
 pub mod fetch;
@@ -52,70 +51,71 @@
 use crate::util::settings::internal_address;
 use crate::util::stop;
 
-/// The versions whose chunks are kept in memory: the one that runs, the one
-/// that comes, and one that was given up for it.
-const KEPT_VERSIONS: u64 = 3;
+/// The number of versions whose chunks are cached: the one that runs, the one being fetched,
+/// and one that was abandoned for it.
+const CACHED_VERSIONS: u64 = 3;
 
-/// Memory for a version's chunks; larger ones are kept all the same, alone.
-const VERSION_MEMORY: u64 = 8 << 20;
+/// Memory for one version's chunks. A larger version is cached nevertheless, on its own.
+const VERSION_MEMORY_BYTES: u64 = 8 << 20;
 
-/// How many chunks are given at once: more would hold up the engine's own
-/// answers, which go over the same link.
+/// The most chunks uploaded at once: more would delay the engine's own answers, which use the
+/// same link.
 const UPLOADS: usize = 2;
 
-/// How long a peer may wait until other chunks have been given.
-const QUEUE: Duration = Duration::from_millis(400);
+/// How long a peer's request waits for another upload to finish.
+const UPLOAD_QUEUE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The part of the link that chunks may take on their way out: the engine's
-/// events go over it too, and must not queue behind them.
-const UPLOAD_PART: f64 = 0.88;
+/// The share of the link that uploads of chunks may use: the engine's events use the same link
+/// and must not queue behind chunks.
+const UPLOAD_SHARE: f64 = 0.88;
 
-/// How many chunks are fetched at once.
+/// The most chunks downloaded at once.
 const DOWNLOADS: usize = 6;
 
-/// How many chunks are fetched from the origin at once: it takes few connections.
-const ORIGIN_DRAWS: usize = 1;
+/// The most chunks downloaded from the origin at once: it accepts few connections.
+const ORIGIN_DOWNLOADS: usize = 1;
 
-/// How long a source that failed is left alone: a whole version takes a few seconds.
+/// How long no chunk is requested from a source after it failed. Short, since fetching a whole
+/// version takes only a few seconds.
 const PENALTY: Duration = Duration::from_millis(250);
 
-/// How long peers may take: a chunk waits behind others for as long as the
-/// queue allows, and then takes a small part of that.
+/// Timeouts for peers: a chunk may wait behind others for [`UPLOAD_QUEUE_TIMEOUT`], and its
+/// transfer takes a small part of that.
 const TIMEOUTS: Timeouts =
     Timeouts { chunk: Duration::from_millis(1000), wait: Duration::from_millis(700) };
 
-/// How long neighbours have to say what they hold.
-const INTRODUCTION: Duration = Duration::from_millis(40);
+/// How long a transfer waits for its neighbours' holdings before it starts to fetch.
+const INITIAL_HOLDINGS_WAIT: Duration = Duration::from_millis(40);
 
-/// How an origin is reached, by its address.
+/// Connects to the origin at an address.
 pub type OpenOrigin = Arc<dyn Fn(SocketAddr) -> Arc<dyn Origin> + Send + Sync>;
 
-/// What the program is made of besides its settings.
+/// The dependencies of an [`Agent`].
 pub struct Parts {
     /// The engine on this instance.
     pub engine: Arc<dyn Engine>,
-    /// How origins are reached.
+    /// Connects to origins.
     pub open_origin: OpenOrigin,
-    /// How other processes of the system are reached.
+    /// The client for calls to other processes of the system.
     pub client: Client,
-    /// Where the process's metrics are collected, if they are.
+    /// The process's metrics recorder, if metrics are served.
     pub metrics: Option<PrometheusHandle>,
 }
 
-/// The running program; dropping it ends its tasks.
+/// A running agent; dropping it stops its tasks.
 pub struct Agent {
     plans: Arc<Plans>,
-    // What chunks go out by.
-    out: Arc<Pacer>,
+    // Limits the rate of uploads.
+    upload_pacer: Arc<Pacer>,
     stop: CancellationToken,
 }
 
 impl Agent {
-    /// Starts the program and listens on the addresses of its settings.
+    /// Starts the agent and listens on the addresses in its settings.
     ///
     /// # Errors
     ///
-    /// When no engine is beside it by its settings, or an address cannot be listened to.
+    /// When the settings name no engine, or binding an address fails.
     pub async fn bind(settings: &settings::Node, parts: Parts) -> Result<Self> {
         let beside =
             settings.beside.as_ref().context("the settings contain no engine (`beside`)")?;
@@ -123,20 +123,21 @@
         let listener = listen::tcp(own).await?;
         let socket = listen::udp(own).await?;
         let stop = CancellationToken::new();
-        let cache = Arc::new(Cache::new(Bytes::new(KEPT_VERSIONS * VERSION_MEMORY)));
+        let cache = Arc::new(Cache::new(Bytes::new(CACHED_VERSIONS * VERSION_MEMORY_BYTES)));
         let listings = Arc::new(Listings::new(parts.client.clone()));
-        let out = Arc::new(Pacer::new(upload_rate(settings)));
-        let uploader = Uploader::new(Arc::clone(&cache), Arc::clone(&out), UPLOADS, QUEUE);
+        let upload_pacer = Arc::new(Pacer::new(upload_rate(settings)));
+        let (shared_cache, pacer) = (Arc::clone(&cache), Arc::clone(&upload_pacer));
+        let uploader = Uploader::new(shared_cache, pacer, UPLOADS, UPLOAD_QUEUE_TIMEOUT);
         let app = peers::app(Arc::new(uploader))
             .merge(listings.app())
             .merge(serve::metrics_router(parts.metrics));
         tokio::spawn(serve::router(listener, app, stop.clone()));
         let service = beside.service.as_str().into();
         let plans = Arc::new(Plans::new(settings, service, parts.client.clone()));
-        let (known, engine) = (Arc::clone(&plans), Arc::clone(&parts.engine));
+        let (shared_plans, engine) = (Arc::clone(&plans), Arc::clone(&parts.engine));
         let link = Arc::default();
         let reporter =
-            Arc::new(Reporter::new(own, beside, known, engine, Arc::clone(&link), socket));
+            Arc::new(Reporter::new(own, beside, shared_plans, engine, Arc::clone(&link), socket));
         let collector = Collector {
             own: peer(own.ip(), own.port(), &settings.zone, &settings.region),
             port: own.port(),
@@ -151,49 +152,50 @@
         tokio::spawn(stop::until(stop.clone(), reporter.listen()));
         tokio::spawn(stop::until(stop.clone(), fetcher.run()));
         tracing::info!(instance = %*settings.instance, engine = %beside.address, "agent started");
-        Ok(Self { plans, out, stop })
+        Ok(Self { plans, upload_pacer, stop })
     }
 
-    /// Goes by other settings, in what may change while it runs.
+    /// Applies changed settings, as far as they may change while the agent runs.
     pub fn reload(&self, settings: &settings::Node) {
         self.plans.reload(settings);
-        self.out.set_rate(upload_rate(settings));
+        self.upload_pacer.set_rate(upload_rate(settings));
     }
 
-    /// Stops: nothing waits on an agent, since peers find chunks elsewhere.
+    /// Stops the agent at once, without draining: peers fetch chunks from other agents.
     pub fn stop(self) {
         tracing::info!("stopped");
     }
 }
 
-/// What all transfers share.
+/// The context that all transfers share.
 fn transfers(cache: Arc<Cache>, link: Arc<Mutex<Link>>, client: Client) -> transfer::Context {
     transfer::Context {
         cache,
         origin: Arc::new(NoOrigin),
         client,
-        // The givers hold back, and both ways of a link are apart.
+        // Downloads are not paced: the uploading peers limit their rate, and the two directions
+        // of a link are independent.
         pacer: Arc::new(Pacer::new(None)),
         policy: Policy::default(),
         link_rate: None,
         max_downloads: DOWNLOADS,
-        max_origin_downloads: ORIGIN_DRAWS,
+        max_origin_downloads: ORIGIN_DOWNLOADS,
         origin_spacing: Duration::ZERO,
         penalty: PENALTY,
         timeouts: TIMEOUTS,
         slow_chunk: Some(SLOW_CHUNK),
         link,
-        initial_holdings_wait: INTRODUCTION,
+        initial_holdings_wait: INITIAL_HOLDINGS_WAIT,
         clock: Clock::start(),
     }
 }
 
-/// What chunks may take of the link on their way out.
+/// The rate limit for uploads of chunks.
 fn upload_rate(settings: &settings::Node) -> Option<ByteRate> {
-    ByteRate::new(Bytes::new((link_rate(settings) * UPLOAD_PART) as u64))
+    ByteRate::new(Bytes::new((link_rate(settings) * UPLOAD_SHARE) as u64))
 }
 
-/// What the instance's link carries, in bytes a second.
+/// The capacity of the instance's link, in bytes per second.
 fn link_rate(settings: &settings::Node) -> f64 {
     const BYTES_IN_MEGABIT: f64 = 125_000.0;
     settings.limits.link_mbps * BYTES_IN_MEGABIT
--- a/src/cinderspoke/staging/plan.rs
+++ b/src/cinderspoke/staging/plan.rs
@@ -1,4 +1,4 @@
-//! What gateways want of the service's engines.
+//! The plan that gateways serve for the service, and the version desired by it.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,22 +20,22 @@
 use crate::util::http::{Call, Client};
 use crate::util::settings::seed_addresses;
 
-/// How long a gateway may take to tell the plan.
+/// Timeout of reading the plan from a gateway.
 const TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A model's version that is wanted.
+/// The version of a model that the engine is to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DesiredVersion {
     /// The model.
     pub model: Model,
     /// The version.
     pub version: Version,
-    /// When it became known here.
+    /// When this agent learned of it.
     pub since: Instant,
 }
 
 impl DesiredVersion {
-    /// Whether an engine holds it whole.
+    /// Whether the engine runs this version, by its report.
     #[must_use]
     pub fn runs_in(&self, report: &EngineReport) -> bool {
         let mut models = report.models.iter();
@@ -43,14 +43,14 @@
     }
 }
 
-/// The text by whose hash versions are told apart.
+/// The text whose hash identifies the version.
 impl fmt::Display for DesiredVersion {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} {}", self.model, self.version)
     }
 }
 
-/// The newest plan, merged from what gateways tell.
+/// The newest plan, merged from the plans of all gateways that were read.
 pub struct Plans {
     service: Service,
     region: Region,
@@ -58,13 +58,13 @@
     seeds: ArcSwap<Vec<SocketAddr>>,
     plan: watch::Sender<Plan>,
     desired: Mutex<Option<DesiredVersion>>,
-    // Kept for gateways that start when no other one is left to ask.
+    // Sent to gateways, for those that start while no other gateway runs.
     timeline: Mutex<Timeline>,
     clock: Clock,
 }
 
 impl Plans {
-    /// No plan is known yet.
+    /// Creates plans with none known yet.
     #[must_use]
     pub fn new(settings: &settings::Node, service: Service, client: Client) -> Self {
         Self {
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Goes by the seeds of other settings.
+    /// Replaces the seeds by those of changed settings.
     pub fn reload(&self, settings: &settings::Node) {
         self.seeds.store(Arc::new(seed_addresses(settings)));
     }
 
-    /// Whether a gateway of a region is one of the own region.
+    /// Whether a region is this agent's own.
     #[must_use]
     pub fn is_local(&self, region: &Region) -> bool {
         self.region == *region
@@ -102,19 +102,19 @@
         self.plan.borrow().clone()
     }
 
-    /// A way to wait for a new plan.
+    /// Subscribes to changes of the plan.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Plan> {
         self.plan.subscribe()
     }
 
-    /// Gateways that may be reached while none has asked for reports.
+    /// Gateways to which reports are sent while no gateway has subscribed.
     #[must_use]
     pub fn seeds(&self) -> Vec<SocketAddr> {
         self.seeds.load().to_vec()
     }
 
-    /// The version that is wanted, once a plan is known.
+    /// The desired version, once a plan is known.
     #[must_use]
     pub fn desired(&self) -> Option<DesiredVersion> {
         self.desired.lock().unwrap_or_else(PoisonError::into_inner).clone()
@@ -124,37 +124,38 @@
         self.timeline.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The versions that were named, and for how long.
+    /// How long ago each version was set to roll out.
     #[must_use]
     pub fn ages(&self) -> Ages {
         self.timeline().ages(self.clock.now())
     }
 
-    /// Reads the plan of a gateway.
+    /// Reads the plan from a gateway and merges it.
     ///
     /// # Errors
     ///
-    /// When it does not tell it.
+    /// When the request fails or the answer cannot be decoded.
     pub async fn fetch(&self, gateway: SocketAddr) -> Result<()> {
         let path = format!("/v1/plan?service={}", self.service);
         let answer =
             self.client.fetch(Call::get(gateway, path).close_after().timeout(TIMEOUT)).await?;
-        self.take(postcard::from_bytes(&answer).context("reading a plan")?);
+        self.merge(postcard::from_bytes(&answer).context("the plan cannot be decoded")?);
         Ok(())
     }
 
-    /// Takes in a plan: versions never go back, and the newest list of peers counts.
-    fn take(&self, plan: Plan) {
+    /// Merges a plan. Versions never go back; the rest is taken from the plan with the highest
+    /// revision.
+    fn merge(&self, plan: Plan) {
         self.timeline().merge(&plan.ages, self.clock.now());
         self.plan.send_if_modified(|known| {
             let mut rollout = known.rollout.clone();
-            let news = rollout.merge(&plan.rollout);
+            let advanced = rollout.merge(&plan.rollout);
             let newer = plan.revision >= known.revision;
             if newer {
                 *known = plan;
             }
             known.rollout = rollout;
-            news || newer
+            advanced || newer
         });
         let plan = self.plan.borrow();
         let Some(model) = plan.models.first().map(|model| Model::from(model.as_str())) else {
--- a/src/cinderspoke/staging/source.rs
+++ b/src/cinderspoke/staging/source.rs
@@ -1,4 +1,4 @@
-//! Origins, in the form in which transfers draw from them.
+//! Adapts a platform's origin to the interface that transfers fetch chunks through.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use cinderspoke_types::digest::Digest;
 use tokio::time::Instant;
 
-/// Stands where transfers have no origin of their own.
+/// The placeholder origin of the shared transfer context, which each transfer replaces.
 pub(super) struct NoOrigin;
 
 #[async_trait]
@@ -22,12 +22,13 @@
     }
 }
 
-/// One version at the origins.
+/// One version at an origin.
 pub(super) struct VersionSource {
     pub(super) origin: Arc<dyn Origin>,
     pub(super) model: Model,
     pub(super) version: Version,
-    /// Bytes of each chunk but the last; chunks are asked for by their number.
+    /// The size of each chunk but the last, in bytes. The origin serves chunks by their index,
+    /// which is computed from a byte range with it.
     pub(super) chunk_bytes: u64,
 }
 
@@ -39,8 +40,8 @@
         let began = Instant::now();
         let read = self.origin.chunk(&self.model, self.version, chunk).await;
         let (version, took_ms) = (self.version, began.elapsed().as_millis() as u64);
-        // One line for each chunk among all agents: they tell when the origin fell
-        // silent, and what had come until then.
+        // Usually a single agent of the service fetches a given chunk from the origin, so these
+        // lines show when the origin stopped answering and which chunks had arrived by then.
         match &read {
             Ok(_) => tracing::info!(%version, chunk, took_ms, "the origin gave a chunk"),
             Err(error) => {
