--- a/src/cinderspoke/staging/load.rs
+++ b/src/cinderspoke/staging/load.rs
@@ -1,4 +1,4 @@
-//! Having an engine load a version that is collected whole.
+//! Has an engine load a version whose chunks are all cached.
 
 use std::time::Duration;
 
@@ -13,19 +13,19 @@
 use super::plan::DesiredVersion;
 use super::report::Reporter;
 
-/// How often the engine is asked whether anything still runs in it.
-const LOOK: Duration = Duration::from_millis(25);
+/// How often a closed engine is polled for requests that still run.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// So many times in a row nothing may run: what was on its way has come then,
-/// also after a lost datagram.
-const QUIET_LOOKS: u32 = 5;
+/// How many polls in a row have to find the engine idle. By then requests that were in transit
+/// have arrived, even if a gateway missed a datagram.
+const IDLE_POLLS: u32 = 5;
 
-/// How much longer what waits for its first token keeps the engine from being
-/// broken off: it would begin on the old version after the order.
-const FIRST_TOKENS: Duration = Duration::from_millis(600);
+/// How long requests that wait for their first token may delay the abort: they would begin on the
+/// old version after the order.
+const FIRST_TOKEN_GRACE: Duration = Duration::from_millis(600);
 
-/// How long an engine may take to load.
-const LOADING: Duration = Duration::from_secs(20);
+/// Timeout for loading a version.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One changeover of an engine.
 pub(super) struct Load<'a> {
@@ -35,7 +35,7 @@
 }
 
 impl Load<'_> {
-    /// Stages chunks and has the engine load them in its turn.
+    /// Stages chunks, drains the engine at the time of its changeover, and has it load them.
     pub(super) async fn run(
         &self,
         manifest: &Manifest,
@@ -58,11 +58,11 @@
         let began = Instant::now();
         match self.engine.start_load(model, *version, Switch::Abort, report.orders).await? {
             OrderOutcome::Accepted => {}
-            OrderOutcome::Rejected => bail!("the order does not fit the engine's state"),
+            OrderOutcome::Rejected => bail!("the engine rejected the order: its state has changed"),
         }
-        let loaded = timeout(LOADING, self.loaded(report.start)).await;
+        let loaded = timeout(LOAD_TIMEOUT, self.wait_loaded(report.start)).await;
         self.reporter.set_accepts_requests(true).await;
-        loaded.context("the engine did not load in time")??;
+        loaded.context("timed out waiting for the engine to load the version")??;
         tracing::info!(
             %version,
             broken_off = report.load.running + report.load.queued,
@@ -73,62 +73,65 @@
         Ok(())
     }
 
-    /// Whether the engine has nothing that could be broken off.
+    /// Whether the engine has no model loaded, so that no request can be aborted.
     async fn is_idle(&self) -> Result<bool> {
         let report = self.report().await?;
         Ok(report.models.is_empty())
     }
 
-    /// What the engine says, unless it is under an order of someone else.
+    /// The engine's report; an error if the engine is executing another order.
     async fn report(&self) -> Result<EngineReport> {
         let report = self.engine.report().await?;
         if report.busy {
-            bail!("the engine is under another order");
+            bail!("the engine is executing another order");
         }
         Ok(report)
     }
 
-    /// Waits until nothing runs in a closed engine, or until it is to be broken off.
+    /// Waits until a closed engine is idle, or until its requests are to be aborted: at `until`,
+    /// or up to [`FIRST_TOKEN_GRACE`] later while requests are queued.
     async fn drain(&self, until: Instant) -> Result<()> {
-        let mut quiet = 0;
+        let mut idle_polls = 0;
         loop {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             let load = self.report().await?.load;
             let now = Instant::now();
-            quiet = if load.running + load.queued == 0 { quiet + 1 } else { 0 };
-            let begun = load.queued == 0 && now >= until;
-            if quiet >= QUIET_LOOKS || begun || now >= until + FIRST_TOKENS {
+            idle_polls = if load.running + load.queued == 0 { idle_polls + 1 } else { 0 };
+            let all_begun = load.queued == 0 && now >= until;
+            if idle_polls >= IDLE_POLLS || all_begun || now >= until + FIRST_TOKEN_GRACE {
                 return Ok(());
             }
         }
     }
 
-    /// Reads back what was staged: it may have turned bad since.
+    /// Verifies the staged chunks, which may have been corrupted since they were staged.
     async fn check_staged(&self, manifest: &Manifest) -> Result<()> {
         for chunk in 0..manifest.chunks() {
             let bytes = self.engine.staged(&self.desired.model, chunk).await?;
             let digest = bytes.map(|bytes| manifest.algorithm().chunk(&bytes));
             if digest != manifest.chunk(chunk) {
-                bail!("chunk {chunk} turned bad where it was staged");
+                bail!("staged chunk {chunk} is corrupt");
             }
         }
         Ok(())
     }
 
-    /// Waits until the engine runs the version, unless it starts anew, which forgets the
-    /// order; `start` is when it had started.
-    async fn loaded(&self, start: Option<Start>) -> Result<()> {
+    /// Waits until the engine runs the version. Fails if the engine restarts, since it loses the
+    /// order then; `start` identifies the run that received the order.
+    async fn wait_loaded(&self, start: Option<Start>) -> Result<()> {
         let mut reports = self.reporter.subscribe();
         loop {
             reports.changed().await?;
             let report = reports.borrow_and_update().clone();
-            let Some(report) = report else { bail!("the engine was lost while it loaded") };
+            let Some(report) = report else {
+                bail!("the engine stopped answering while it loaded the version")
+            };
             if self.desired.runs_in(&report) && !report.busy {
                 return Ok(());
             }
-            let forgot = !report.busy && report.models.is_empty() && report.orders == 0;
-            if forgot || report.start != start {
-                bail!("the engine has started anew");
+            let has_reset = !report.busy && report.models.is_empty() && report.orders == 0;
+            if has_reset || report.start != start {
+                bail!("the engine restarted while it loaded the version");
             }
         }
     }
--- a/src/cinderspoke/staging/report.rs
+++ b/src/cinderspoke/staging/report.rs
@@ -1,4 +1,4 @@
-//! Asking the engine what it does, and telling gateways.
+//! Polls the engine, sends load reports to gateways, and answers their datagrams.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -23,17 +23,17 @@
 use crate::gateway::message::{Datagram, buffer, pack, receive, send};
 use crate::util::clock::Clock;
 
-/// How often the engine is asked and gateways are told.
-const PERIOD: Duration = Duration::from_millis(100);
+/// How often the engine is polled and reports are sent.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a gateway of another region that hints at a plan is not asked for it: those of
-/// the own region hint soon after, and spare the link that all traffic between regions shares.
-const NEARBY: Duration = Duration::from_millis(80);
+/// How long a hint from a gateway of another region is held: gateways of the own region hint soon
+/// after, and reading the plan there spares the link that all traffic between regions shares.
+const OTHER_REGION_DELAY: Duration = Duration::from_millis(80);
 
-/// What the engine said last; none while it does not answer.
+/// The engine's latest report; none while the engine does not answer.
 pub type Latest = Option<EngineReport>;
 
-/// Asks the engine what it does, and tells gateways.
+/// Polls the engine and sends load reports to gateways.
 pub struct Reporter {
     own: SocketAddr,
     address: SocketAddr,
@@ -41,38 +41,38 @@
     engine: Arc<dyn Engine>,
     socket: UdpSocket,
     clock: Clock,
-    // Fetched at the start; tells this process from those before it.
+    // A random number that identifies this run of the agent.
     process: u64,
     latest: watch::Sender<Latest>,
-    // Cleared while the engine is to take no new requests.
-    open: AtomicBool,
-    // Counts the times that the engine answered: who is told then goes by turns.
+    // False while the engine is to receive no new requests.
+    accepts_requests: AtomicBool,
+    // Counts the engine's answers; selects the gateways that a report is scheduled for.
     tick: AtomicUsize,
-    heard: Mutex<Heard>,
-    // Who is told.
+    last_echo: Mutex<LastEcho>,
+    // The gateways that receive reports.
     subscribers: Mutex<Subscribers>,
-    // What gateways have outstanding at the engine.
+    // The requests that gateways have outstanding at the engine.
     tally: Mutex<Tally>,
-    // Places at the engine that are kept for gateways that asked.
+    // Reservations of gateways that queried the engine.
     reservations: Mutex<reservation::Table>,
-    // What chunks tell of the link.
+    // The state of the instance's link, as transfers of chunks observe it.
     link: Arc<Mutex<Link>>,
     reads: Limiter,
 }
 
-/// The newest word from a gateway.
+/// The newest echo from a gateway.
 #[derive(Debug, Default)]
-struct Heard {
-    // Our own time that it repeats; none before the first word.
-    told: Option<Duration>,
-    // Who gave it.
+struct LastEcho {
+    // The time on this agent's clock when the echoed report was sent; none before the first echo.
+    report_sent_at: Option<Duration>,
+    // The gateway that sent the echo.
     from: Option<SocketAddr>,
-    // Turns between those who are asked for the next one.
-    turn: usize,
+    // Counts the requests for an echo; rotates them among gateways.
+    rotation: usize,
 }
 
 impl Reporter {
-    /// A reporter of the engine beside an agent.
+    /// Creates a reporter for the engine beside an agent.
     #[must_use]
     pub fn new(
         own: SocketAddr,
@@ -83,56 +83,50 @@
         socket: UdpSocket,
     ) -> Self {
         let address = beside.address;
-        let (latest, open) = (watch::Sender::new(None), AtomicBool::new(true));
-        let tick = AtomicUsize::new(0);
-        let clock = Clock::start();
-        let (heard, tally, reservations) = (Mutex::default(), Mutex::default(), Mutex::default());
-        let process = rand::random();
-        let reads = Limiter::default();
         Self {
             own,
             address,
             plans,
             engine,
             socket,
-            clock,
-            process,
-            latest,
-            open,
-            tick,
-            heard,
+            clock: Clock::start(),
+            process: rand::random(),
+            latest: watch::Sender::new(None),
+            accepts_requests: AtomicBool::new(true),
+            tick: AtomicUsize::new(0),
+            last_echo: Mutex::default(),
             subscribers: Mutex::default(),
-            tally,
-            reservations,
+            tally: Mutex::default(),
+            reservations: Mutex::default(),
             link,
-            reads,
+            reads: Limiter::default(),
         }
     }
 
-    /// What the engine says, as it changes.
+    /// Subscribes to the engine's reports.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Latest> {
         self.latest.subscribe()
     }
 
-    /// Says whether the engine is to get new requests; gateways learn of it at once.
-    pub async fn set_accepts_requests(&self, open: bool) {
-        self.open.store(open, Ordering::Relaxed);
+    /// Sets whether the engine is to receive new requests, and reports it to gateways at once.
+    pub async fn set_accepts_requests(&self, accepts_requests: bool) {
+        self.accepts_requests.store(accepts_requests, Ordering::Relaxed);
         let latest = self.latest.borrow().clone();
         if let Some(report) = latest {
-            self.tell(&report, self.gateways()).await;
+            self.send_reports(&report, self.gateways()).await;
         }
     }
 
-    /// Whether the engine is to get new requests.
+    /// Whether the engine is to receive new requests.
     #[must_use]
     pub fn accepts_requests(&self) -> bool {
-        self.open.load(Ordering::Relaxed)
+        self.accepts_requests.load(Ordering::Relaxed)
     }
 
-    /// Asks and tells for as long as the program runs.
+    /// Polls the engine and sends reports for as long as the process runs.
     pub async fn run(self: Arc<Self>) {
-        let mut ticks = interval(PERIOD);
+        let mut ticks = interval(REPORT_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -140,25 +134,25 @@
         }
     }
 
-    /// Asks the engine once and tells the gateways whose turn it is what it said.
+    /// Polls the engine once and sends its report to the gateways scheduled for it.
     pub async fn poll_engine(&self) {
         match self.engine.report().await {
             Ok(report) => {
-                self.tell(&report, self.next_told()).await;
+                self.send_reports(&report, self.next_recipients()).await;
                 self.latest.send_replace(Some(report));
             }
             Err(error) => {
-                let lost = self.latest.send_replace(None).is_some();
-                if lost {
+                let had_answered = self.latest.send_replace(None).is_some();
+                if had_answered {
                     tracing::warn!(%error, "engine lost");
                 }
             }
         }
     }
 
-    /// Tells gateways what the engine said; one of them is asked to answer.
-    async fn tell(&self, report: &EngineReport, gateways: Vec<SocketAddr>) {
-        let asked = self.next_asked(&gateways);
+    /// Sends a report of the engine to gateways, and requests an echo from one of them.
+    async fn send_reports(&self, report: &EngineReport, gateways: Vec<SocketAddr>) {
+        let echoing = self.next_echoing(&gateways);
         let now = self.clock.now();
         let (load, plan) = (self.load(report, now), self.plans.newest().hash());
         let datagram = |echo, others| {
@@ -177,34 +171,40 @@
         let all = self.tally().total(now);
         for gateway in gateways {
             let others = self.others(all, gateway, now);
-            send(&self.socket, gateway, &datagram(Some(gateway) == asked, others)).await;
+            send(&self.socket, gateway, &datagram(Some(gateway) == echoing, others)).await;
         }
     }
 
-    /// What the engine said, with what is known of it beside that.
+    /// The engine's load, with the state that this agent adds to it.
     fn load(&self, report: &EngineReport, now: Duration) -> Report {
         Report {
             accepts_requests: self.accepts_requests(),
-            last_contact_age: self.deaf(now),
+            last_contact_age: self.last_contact_age(now),
             is_congested: self.is_congested(now),
             process: self.process,
             ..report.load.clone()
         }
     }
 
-    /// What other gateways than one have outstanding at the engine, or have a place for.
+    /// The outstanding requests and reservations of all gateways but one.
     fn others(&self, all: Outstanding, gateway: SocketAddr, now: Duration) -> Outstanding {
-        let kept = self.reservations().others(gateway, now);
-        self.tally().others(all, gateway, now).plus(kept)
+        let reserved = self.reservations().others(gateway, now);
+        self.tally().others(all, gateway, now).plus(reserved)
     }
 
-    /// Tells a gateway that asks for a place what the engine holds, and keeps it one.
-    async fn answer(&self, gateway: SocketAddr, number: u64, asked: Duration, prompt: u32) {
+    /// Answers a gateway's query with the engine's load, and makes a reservation for its request.
+    async fn answer_query(
+        &self,
+        gateway: SocketAddr,
+        number: u64,
+        sent_at: Duration,
+        prompt_tokens: u32,
+    ) {
         let Some(report) = self.latest.borrow().clone() else { return };
         let now = self.clock.now();
         let all = self.tally().total(now);
         let others = self.others(all, gateway, now);
-        self.reservations().reserve(gateway, asked, prompt, now);
+        self.reservations().reserve(gateway, sent_at, prompt_tokens, now);
         let answer = Datagram::Report {
             from: self.own,
             engine: self.address,
@@ -219,11 +219,11 @@
         send(&self.socket, gateway, &pack(&answer)).await;
     }
 
-    fn heard(&self) -> MutexGuard<'_, Heard> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_echo(&self) -> MutexGuard<'_, LastEcho> {
+        self.last_echo.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether what goes over the link may be held up for seconds.
+    /// Whether traffic over the instance's link may be delayed by seconds.
     fn is_congested(&self, now: Duration) -> bool {
         self.link.lock().unwrap_or_else(PoisonError::into_inner).is_congested(now)
     }
@@ -240,85 +240,87 @@
         self.subscribers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The gateways that want reports; seeds while there are none, so that one of them learns
-    /// that this agent lacks the plan.
+    /// The gateways that subscribe to reports; the seeds while there are none, so that one of
+    /// them sees that this agent lacks the plan.
     fn gateways(&self) -> Vec<SocketAddr> {
         let subscribers = self.subscribers().active(self.clock.now());
         if subscribers.is_empty() { self.plans.seeds() } else { subscribers }
     }
 
-    /// The gateways whose turn it is to be told.
-    fn next_told(&self) -> Vec<SocketAddr> {
+    /// The gateways that the next report is scheduled for.
+    fn next_recipients(&self) -> Vec<SocketAddr> {
         let gateways = self.gateways();
         let tick = self.tick.fetch_add(1, Ordering::Relaxed);
-        let mut told = Subscribers::scheduled(&gateways, tick);
-        // Who answered last is always told, so that it can answer again.
-        let last = self.heard().from.filter(|last| gateways.contains(last));
-        told.extend(last.filter(|last| !told.contains(last)));
-        told
+        let mut recipients = Subscribers::scheduled(&gateways, tick);
+        // The gateway of the last echo receives every report, so that it can echo again.
+        let last = self.last_echo().from.filter(|last| gateways.contains(last));
+        recipients.extend(last.filter(|last| !recipients.contains(last)));
+        recipients
     }
 
-    /// The gateway that is to answer next: by turns the one that answered last,
-    /// which most likely lives, and any other.
-    fn next_asked(&self, gateways: &[SocketAddr]) -> Option<SocketAddr> {
-        let mut heard = self.heard();
-        heard.turn = heard.turn.wrapping_add(1);
-        let last = heard.from.filter(|last| gateways.contains(last));
-        if last.is_some() && queries_last_responder(heard.turn) {
+    /// The gateway from which the next echo is requested: alternately the one that sent the last
+    /// echo, which most likely still runs, and any other.
+    fn next_echoing(&self, gateways: &[SocketAddr]) -> Option<SocketAddr> {
+        let mut last_echo = self.last_echo();
+        last_echo.rotation = last_echo.rotation.wrapping_add(1);
+        let last = last_echo.from.filter(|last| gateways.contains(last));
+        if last.is_some() && queries_last_responder(last_echo.rotation) {
             return last;
         }
-        let number = heard.turn.checked_rem(gateways.len())?;
+        let number = last_echo.rotation.checked_rem(gateways.len())?;
         gateways.get(number).copied()
     }
 
-    /// The age of the newest word from a gateway; the time since the start, where
-    /// none came: a link that was full before is as full after.
-    fn deaf(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.heard().told.unwrap_or_default())
+    /// The age of the newest report that a gateway has echoed. Before the first echo, the time
+    /// since the start: a link that was congested before the agent started still is.
+    fn last_contact_age(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.last_echo().report_sent_at.unwrap_or_default())
     }
 
-    /// Takes in that a gateway answered.
-    fn on_echo(&self, from: SocketAddr, told: Duration) {
-        let mut heard = self.heard();
-        heard.told = heard.told.max(Some(told));
-        heard.from = Some(from);
+    /// Records the echo of a report.
+    fn record_echo(&self, from: SocketAddr, report_sent_at: Duration) {
+        let mut last_echo = self.last_echo();
+        last_echo.report_sent_at = last_echo.report_sent_at.max(Some(report_sent_at));
+        last_echo.from = Some(from);
     }
 
-    /// Takes in what gateways say.
+    /// Receives and handles gateways' datagrams for as long as the process runs.
     pub async fn listen(self: Arc<Self>) {
         let mut buffer = buffer();
         loop {
             match receive(&self.socket, &mut buffer).await {
-                Datagram::Echo { from, report_sent_at: told } => self.on_echo(from, told),
+                Datagram::Echo { from, report_sent_at } => self.record_echo(from, report_sent_at),
                 Datagram::Subscribe { from } => self.subscribers().renew(from, self.clock.now()),
-                Datagram::Outstanding { from, outstanding, sent_at: sent, decided_before } => {
-                    self.tally().apply(from, outstanding, sent, self.clock.now());
+                Datagram::Outstanding { from, outstanding, sent_at, decided_before } => {
+                    self.tally().apply(from, outstanding, sent_at, self.clock.now());
                     self.reservations().release_before(from, decided_before);
                 }
-                Datagram::Query { from, number, sent_at: asked, prompt_tokens: prompt } => {
-                    self.answer(from, number, asked, prompt).await;
+                Datagram::Query { from, number, sent_at, prompt_tokens } => {
+                    self.answer_query(from, number, sent_at, prompt_tokens).await;
                 }
-                Datagram::Hint { from, region, plan_hash: plan }
-                    if plan != self.plans.newest().hash() =>
+                Datagram::Hint { from, region, plan_hash }
+                    if plan_hash != self.plans.newest().hash() =>
                 {
-                    let wait = if self.plans.is_local(&region) { Duration::ZERO } else { NEARBY };
-                    tokio::spawn(Arc::clone(&self).read_hinted(from, plan, wait));
+                    let is_local = self.plans.is_local(&region);
+                    let delay = if is_local { Duration::ZERO } else { OTHER_REGION_DELAY };
+                    tokio::spawn(Arc::clone(&self).read_hinted(from, plan_hash, delay));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Limiter a plan that a gateway hinted at, unless it is known or being read after a wait.
-    async fn read_hinted(self: Arc<Self>, from: SocketAddr, plan: u64, wait: Duration) {
-        sleep(wait).await;
-        if plan == self.plans.newest().hash() {
+    /// Reads a plan that a gateway hinted at, unless it is known after a delay or the limit of
+    /// concurrent reads is reached.
+    async fn read_hinted(self: Arc<Self>, from: SocketAddr, plan_hash: u64, delay: Duration) {
+        sleep(delay).await;
+        if plan_hash == self.plans.newest().hash() {
             return;
         }
-        let Some(read) = self.reads.try_acquire() else { return };
+        let Some(permit) = self.reads.try_acquire() else { return };
         if let Err(error) = self.plans.fetch(from).await {
             tracing::debug!(%from, error = format!("{error:#}"), "reading a plan");
         }
-        read.release().await;
+        permit.release().await;
     }
 }
