--- a/src/cinderspoke/agent/cache.rs
+++ b/src/cinderspoke/agent/cache.rs
@@ -1,7 +1,6 @@
-//! Chunks in memory: held for loading, and for as long as peers need them.
+//! Caches chunks in memory, for loading and for peers that need them.
 //!
-//! Chunks are kept by their digest, so that versions share those which they
-//! have in common.
+//! Chunks are stored by digest, so that versions share the chunks they have in common.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,16 +14,16 @@
 
 use crate::util::signal::{Receiver, Signal};
 
-/// After so many chunks given, peers are told how much it was.
-const TOLD_EACH: u64 = 4;
+/// After how many uploads peers that wait for changes receive the updated count of bytes served.
+const UPLOADS_PER_UPDATE: u64 = 4;
 
 /// All chunks that an instance holds.
 #[derive(Debug)]
 pub struct Cache {
     limit: size::Bytes,
     state: Mutex<State>,
-    // Told after each chunk.
-    puts: Signal,
+    // Raised after each inserted chunk.
+    insertions: Signal,
 }
 
 #[derive(Debug, Default)]
@@ -32,8 +31,9 @@
     chunks: HashMap<Digest, Bytes>,
     versions: BTreeMap<Digest, Version>,
     used: size::Bytes,
-    given: u64,
-    gifts: u64,
+    // Bytes of chunks served to peers.
+    served_bytes: u64,
+    uploads: u64,
 }
 
 /// The chunks of one version.
@@ -42,30 +42,30 @@
     manifest: Manifest,
     positions: HashMap<Digest, Vec<usize>>,
     held: Bitmap,
-    // Told after each chunk; the revision is how often.
+    // Raised after each change; the number of times is the revision of the holdings.
     revision: Signal,
-    // Whether the engine has the weights: then the chunks only serve peers.
-    spare: bool,
+    // Whether the engine has loaded the weights, so that the chunks are only kept for peers.
+    evictable: bool,
 }
 
 impl Cache {
-    /// An empty cache for at most `limit` of chunks.
+    /// Creates an empty cache for at most `limit` of chunks.
     #[must_use]
     pub fn new(limit: size::Bytes) -> Self {
-        Self { limit, state: Mutex::default(), puts: Signal::default() }
+        Self { limit, state: Mutex::default(), insertions: Signal::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts to hold a version, and tells which of its chunks are here already.
+    /// Starts to track a version, and returns which of its chunks are cached already.
     ///
-    /// Versions that the engine has loaded make room for it where they must.
+    /// Evicts versions that the engine has loaded if the memory limit requires it.
     pub fn add_version(&self, manifest: &Manifest) -> Bitmap {
         let mut state = self.lock();
         if let Some(version) = state.versions.get(&manifest.digest()) {
-            // Peers wait for its next chunk: it has to stay the same one.
+            // Peers may be waiting on its revision signal, which must not be replaced.
             return version.held.clone();
         }
         state.make_room(self.limit, manifest);
@@ -80,20 +80,20 @@
             }
         }
         let revision = Signal::default();
-        // Peers that know nothing say 0.
+        // Revisions start at 1, since peers that know no revision request changes after 0.
         revision.raise();
         let version = Version {
             manifest: manifest.clone(),
             positions,
             held: held.clone(),
             revision,
-            spare: false,
+            evictable: false,
         };
         state.versions.insert(manifest.digest(), version);
         held
     }
 
-    /// Puts a verified chunk where it belongs.
+    /// Inserts a verified chunk, which then counts as held in each version that contains it.
     pub fn insert(&self, digest: Digest, bytes: Bytes) {
         let mut state = self.lock();
         let length = size::Bytes::new(bytes.len() as u64);
@@ -105,33 +105,33 @@
                 positions.iter().for_each(|position| version.held.insert(*position));
             }
         }
-        state.tell(digest);
+        state.notify(digest);
         drop(state);
-        self.puts.raise();
+        self.insertions.raise();
     }
 
-    /// A chunk, to be given to a peer, if it is held.
+    /// Returns a chunk to be served to a peer, if it is held, and counts the upload.
     #[must_use]
     pub fn serve(&self, digest: Digest) -> Option<Bytes> {
         let mut state = self.lock();
         let bytes = state.chunks.get(&digest).cloned()?;
-        state.given += bytes.len() as u64;
-        state.gifts += 1;
-        if state.gifts.is_multiple_of(TOLD_EACH) {
-            state.tell(digest);
+        state.served_bytes += bytes.len() as u64;
+        state.uploads += 1;
+        if state.uploads.is_multiple_of(UPLOADS_PER_UPDATE) {
+            state.notify(digest);
         }
         Some(bytes)
     }
 
     /// Waits until a chunk is held.
     pub async fn wait_for(&self, digest: Digest) {
-        let mut puts = self.puts.subscribe();
+        let mut insertions = self.insertions.subscribe();
         while !self.lock().chunks.contains_key(&digest) {
-            puts.changed().await;
+            insertions.changed().await;
         }
     }
 
-    /// The whole weights, chunk by chunk; `None` while some are missing.
+    /// All chunks of a version in order; `None` while some are missing.
     #[must_use]
     pub fn all_chunks(&self, manifest: Digest) -> Option<Vec<Bytes>> {
         let state = self.lock();
@@ -145,7 +145,8 @@
             .collect()
     }
 
-    /// How many chunks of a version are held, and how many there are.
+    /// The number of held chunks of a version and its total number of chunks; `None` if the
+    /// version is not tracked.
     #[must_use]
     pub fn progress(&self, manifest: Digest) -> Option<(usize, usize)> {
         let state = self.lock();
@@ -153,7 +154,7 @@
         Some((version.held.count(), version.held.len()))
     }
 
-    /// The chunks held of a version, and a way to wait for more.
+    /// The held chunks of a version, and a receiver that waits for changes.
     #[must_use]
     pub fn holdings(&self, manifest: Digest) -> Option<(Holdings, Receiver)> {
         let state = self.lock();
@@ -162,40 +163,40 @@
         let holdings = Holdings {
             revision: version.revision.raised(),
             chunks: version.held.to_string(),
-            given: state.given,
+            given: state.served_bytes,
         };
         Some((holdings, revision))
     }
 
-    /// Marks a version as loaded: its chunks may go when room is needed.
+    /// Marks a version as loaded, so that it may be evicted when memory is needed.
     pub fn mark_evictable(&self, manifest: Digest) {
         if let Some(version) = self.lock().versions.get_mut(&manifest) {
-            version.spare = true;
+            version.evictable = true;
         }
     }
 
-    /// Stops holding a version; chunks that other versions share stay.
+    /// Removes a version and its chunks, except chunks that other versions share.
     pub fn remove_version(&self, manifest: Digest) {
         self.lock().remove(manifest);
     }
 }
 
 impl State {
-    /// Lets peers know of a change to the versions that have a chunk.
-    fn tell(&mut self, digest: Digest) {
-        let having =
-            self.versions.values().filter(|version| version.positions.contains_key(&digest));
-        having.for_each(|version| version.revision.raise());
+    /// Notifies peers that wait for changes of the versions that contain a chunk.
+    fn notify(&mut self, digest: Digest) {
+        let versions = self.versions.values();
+        let containing = versions.filter(|version| version.positions.contains_key(&digest));
+        containing.for_each(|version| version.revision.raise());
     }
 
     fn make_room(&mut self, limit: size::Bytes, manifest: &Manifest) {
         while self.used + manifest.size() > limit {
-            let spare = self.versions.iter().find(|(_, version)| version.spare);
-            let Some(oldest) = spare.map(|(digest, _)| *digest) else {
+            let evictable = self.versions.iter().find(|(_, version)| version.evictable);
+            let Some(version) = evictable.map(|(digest, _)| *digest) else {
                 tracing::warn!(used = %self.used, %limit, "chunks take more memory than allowed");
                 return;
             };
-            self.remove(oldest);
+            self.remove(version);
         }
     }
 
--- a/src/cinderspoke/agent/control.rs
+++ b/src/cinderspoke/agent/control.rs
@@ -1,4 +1,5 @@
-//! The control task of an agent: it owns the instance's replicas.
+//! The control task of an agent: owns the instance's replicas, executes the orders of entry
+//! instances, and reports to them in heartbeats.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,54 +25,54 @@
 use crate::ports::WeightStore;
 use crate::util::{rpc, stop};
 
-/// How many messages may wait for the control task.
-const QUEUE: usize = 256;
+/// The capacity of the control task's message queue.
+const QUEUE_CAPACITY: usize = 256;
 
-/// How long to wait before an order that failed is given again.
-const RETRY: Duration = Duration::from_millis(500);
+/// Delay before a failed order is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The least time between two heartbeats.
-const SPACING: Duration = Duration::from_millis(20);
+/// The minimum time between two heartbeats to an entry instance.
+const MIN_HEARTBEAT_SPACING: Duration = Duration::from_millis(20);
 
-/// How long an endpoint may take to say what it is busy with.
+/// Timeout for the endpoint's load report.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the agent says of itself in every heartbeat.
+/// The agent's identity, sent in every heartbeat.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// This instance, as peers reach it.
+    /// This instance, with the address at which peers reach it.
     pub peer: Peer,
-    /// The start of this process.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
-    /// What stands beside it.
+    /// The kind of the endpoint.
     pub kind: cinderspoke_schema::control::Kind,
-    /// The plain service that it is, if it is one.
+    /// The service that the endpoint serves, if it is a plain service.
     pub service: Option<Service>,
-    /// The endpoint's room for weights.
+    /// The endpoint's memory for weights.
     pub memory: cinderspoke_types::size::Bytes,
 }
 
-/// What the control task works with.
+/// The dependencies of the control task.
 pub struct Parts {
-    /// What the agent says of itself.
+    /// The agent's identity.
     pub identity: Identity,
-    /// What the agent's tasks share.
+    /// The state that the agent's tasks share.
     pub shared: Arc<Shared>,
-    /// What transfers need.
+    /// The context of transfers.
     pub transfers: Arc<transfer::Context>,
-    /// Where manifests come from.
+    /// The store of manifests.
     pub weight_store: Arc<dyn WeightStore>,
-    /// Control addresses of the zone's entry instances.
+    /// Control addresses of the availability zone's entry instances.
     pub entries: Vec<std::net::SocketAddr>,
-    /// How often to send a heartbeat.
+    /// The interval between heartbeats.
     pub heartbeat: Duration,
-    /// Cancelled when the instance is to take no more work.
-    pub leaving: CancellationToken,
+    /// Cancelled when the instance starts to drain.
+    pub draining: CancellationToken,
     /// Cancelled when the process stops.
     pub stop: CancellationToken,
 }
 
-/// What reaches the control task.
+/// A message to the control task.
 #[derive(Debug)]
 enum Message {
     Reply(HeartbeatReply),
@@ -86,7 +87,7 @@
 
 /// Starts the control task on the current runtime.
 pub fn spawn(parts: Parts) {
-    let (sender, inbox) = mpsc::channel(QUEUE);
+    let (sender, inbox) = mpsc::channel(QUEUE_CAPACITY);
     let stop = parts.stop.clone();
     let mut reports = Vec::new();
     for entry in &parts.entries {
@@ -100,17 +101,17 @@
         replicas: Replicas::new(parts.identity.memory),
         roster: None,
         transfers: BTreeMap::new(),
-        told: Vec::new(),
+        reported_phases: Vec::new(),
         sequence: 0,
         sender,
         reports,
-        leaving_told: false,
+        draining_reported: false,
         parts,
     };
     tokio::spawn(stop::until(stop, control.run(inbox)));
 }
 
-/// A transfer under way.
+/// A transfer in progress; dropping it aborts the transfer.
 struct Running {
     members: watch::Sender<Members>,
     task: AbortHandle,
@@ -126,13 +127,13 @@
     replicas: Replicas,
     roster: Option<Roster>,
     transfers: BTreeMap<Digest, Running>,
-    // The phases of which entry instances have been told.
-    told: Vec<(Service, Phase, Option<Digest>)>,
+    // The phases in the last report to entry instances.
+    reported_phases: Vec<(Service, Phase, Option<Digest>)>,
     sequence: u64,
     sender: mpsc::Sender<Message>,
-    // The newest report, for each entry instance.
+    // The newest heartbeat, one channel per entry instance.
     reports: Vec<watch::Sender<Option<Heartbeat>>>,
-    leaving_told: bool,
+    draining_reported: bool,
     parts: Parts,
 }
 
@@ -141,23 +142,24 @@
         self.take_inventory().await;
         let mut ticks = interval(self.parts.heartbeat);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let leaving = self.parts.leaving.clone();
+        let draining = self.parts.draining.clone();
         loop {
             tokio::select! {
                 biased;
-                _ = ticks.tick() => self.tell().await,
-                () = leaving.cancelled(), if !self.leaving_told => self.tell().await,
+                _ = ticks.tick() => self.report().await,
+                () = draining.cancelled(), if !self.draining_reported => self.report().await,
                 Some(message) = inbox.recv() => {
-                    let changed = self.take(message);
+                    let changed = self.handle(message);
                     if changed {
-                        self.tell().await;
+                        self.report().await;
                     }
                 }
             }
         }
     }
 
-    /// Learns what the engine has loaded: it may have outlived a former agent.
+    /// Reads which weights the engine has loaded already: the engine may have been running before
+    /// this process started.
     async fn take_inventory(&mut self) {
         let Endpoint::Model(engine) = &self.parts.shared.endpoint else { return };
         loop {
@@ -171,12 +173,13 @@
                 }
                 Err(error) => tracing::warn!(%error, "asking the engine what it holds"),
             }
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Takes in a message; true when entry instances should learn of it at once.
-    fn take(&mut self, message: Message) -> bool {
+    /// Handles a message, and returns whether the replicas' phases have changed, which is reported
+    /// to entry instances at once.
+    fn handle(&mut self, message: Message) -> bool {
         match message {
             Message::Reply(reply) => self.on_reply(reply),
             Message::Verified(manifest) => {
@@ -201,15 +204,15 @@
             Message::NotUnloaded(manifest) => self.replicas.record_unload_failure(manifest),
         }
         let steps = self.replicas.steps();
-        self.show_serving();
+        self.update_serving();
         let phases = self.phases();
-        steps.into_iter().for_each(|step| self.act(step));
-        let changed = phases != self.told;
-        self.told = phases;
+        steps.into_iter().for_each(|step| self.execute(step));
+        let changed = phases != self.reported_phases;
+        self.reported_phases = phases;
         changed
     }
 
-    /// The replicas' phases, without the progress within them.
+    /// The replicas' phases, without the progress of transfers.
     fn phases(&self) -> Vec<(Service, Phase, Option<Digest>)> {
         let phases = self.replicas.phases();
         let manifest = |weights: Option<&Weights>| weights.map(|weights| weights.manifest);
@@ -219,7 +222,7 @@
     }
 
     fn on_reply(&mut self, reply: HeartbeatReply) {
-        // An entry instance that knows no plan yet has nothing to say.
+        // The reply of an entry instance that knows no plan yet contains no orders.
         if reply.fence == Fence::default() {
             return;
         }
@@ -248,8 +251,8 @@
         }
     }
 
-    /// Sets what requests are answered with, before anything is drained.
-    fn show_serving(&self) {
+    /// Sets the weights that requests are answered with, before any weights are drained.
+    fn update_serving(&self) {
         let services: BTreeMap<Service, Serving> = self
             .replicas
             .phases()
@@ -258,7 +261,7 @@
         self.parts.shared.serving.set(services);
     }
 
-    fn act(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
             Step::Fetch(weights) => self.fetch(&weights),
             Step::Abandon(manifest) => {
@@ -294,7 +297,7 @@
         tokio::spawn(stop::until(self.parts.stop.clone(), task));
     }
 
-    /// Gives the engine an order, and reports what became of it.
+    /// Runs an order to the engine in a task, and sends its result to the control task.
     fn order(
         &self,
         what: &'static str,
@@ -308,7 +311,7 @@
                 Ok(()) => done,
                 Err(error) => {
                     tracing::warn!(%error, order = what, "the engine did not carry out an order");
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                     failed
                 }
             };
@@ -328,7 +331,7 @@
                 Ok(verified) => Message::Verified(verified.manifest().digest()),
                 Err(error) => {
                     tracing::warn!(error = format!("{error:#}"), "weights were not verified");
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                     Message::NotVerified(manifest)
                 }
             };
@@ -338,15 +341,15 @@
         self.transfers.insert(manifest, Running { members, task });
     }
 
-    /// Tells the entry instances how things stand.
-    async fn tell(&mut self) {
+    /// Queues a new heartbeat for all entry instances.
+    async fn report(&mut self) {
         self.sequence += 1;
         let heartbeat = Heartbeat {
             member: self.member().await,
             sequence: self.sequence,
             roster: self.roster.as_ref().map_or(0, |roster| roster.revision),
         };
-        self.leaving_told = heartbeat.member.state == State::Leaving;
+        self.draining_reported = heartbeat.member.state == State::Leaving;
         for report in &self.reports {
             report.send_replace(Some(heartbeat.clone()));
         }
@@ -354,7 +357,7 @@
 
     async fn member(&self) -> Member {
         let Identity { peer, incarnation, kind, service, memory } = self.parts.identity.clone();
-        let leaving = self.parts.leaving.is_cancelled();
+        let is_draining = self.parts.draining.is_cancelled();
         Member {
             instance: peer.instance,
             zone: peer.zone,
@@ -364,7 +367,7 @@
             kind,
             service,
             memory,
-            state: if leaving { State::Leaving } else { State::Ready },
+            state: if is_draining { State::Leaving } else { State::Ready },
             fence: self.replicas.fence(),
             replicas: self.replicas.phases().map(|phase| self.replica(phase)).collect(),
             load: self.load().await,
@@ -385,33 +388,35 @@
         }
     }
 
-    /// What the endpoint is busy with; its own word where it gives one in time.
+    /// The endpoint's load: the engine's report if it answers in time, else the number of requests
+    /// that this agent has in progress.
     async fn load(&self) -> Option<cinderspoke_schema::control::Load> {
         let running = self.parts.shared.serving.in_progress();
-        let own = cinderspoke_schema::control::Load { running, queued: 0 };
-        let Endpoint::Model(engine) = &self.parts.shared.endpoint else { return Some(own) };
+        let counted = cinderspoke_schema::control::Load { running, queued: 0 };
+        let Endpoint::Model(engine) = &self.parts.shared.endpoint else { return Some(counted) };
         match timeout(LOAD_TIMEOUT, engine.load_report()).await {
             Ok(Ok(load)) => Some(load),
-            _ => Some(own),
+            _ => Some(counted),
         }
     }
 }
 
-/// Orders the engine to load verified weights, chunk by chunk.
+/// Orders the engine to load verified weights, and streams their chunks to it.
 async fn load(shared: Arc<Shared>, weights: Weights, fence: Fence) -> Result<(), Error> {
-    let whole = shared.cache.all_chunks(weights.manifest);
-    let chunks = whole.ok_or_else(|| Error::NotRun("chunks were dropped before loading".into()))?;
+    let chunks = shared.cache.all_chunks(weights.manifest);
+    let chunks =
+        chunks.ok_or_else(|| Error::NotRun("chunks were evicted before loading".into()))?;
     let bytes = stream::iter(chunks.into_iter().map(Ok)).boxed();
     shared.engine()?.load(LoadOrder { weights, fence, bytes }).await
 }
 
-/// Waits until there is a report that has not been sent.
+/// Waits until there is a newer heartbeat than the one received last.
 async fn newer(report: &watch::Receiver<Option<Heartbeat>>) {
     // Fails only when the control task has ended.
     let _ = report.clone().changed().await;
 }
 
-/// Sends every report to one entry instance, and its answers to the control task.
+/// Sends each heartbeat to one entry instance, and its replies to the control task.
 async fn follow_entry(
     entry: std::net::SocketAddr,
     client: rpc::Client,
@@ -429,9 +434,10 @@
                 }
                 Err(error) => tracing::debug!(%entry, %error, "heartbeat"),
             },
-            // A newer report takes the place of one whose answer still waits for news.
+            // A newer heartbeat replaces one whose reply the entry instance still holds back
+            // until there is something to send.
             _ = newer(&report) => {}
         }
-        sleep(SPACING.saturating_sub(started.elapsed())).await;
+        sleep(MIN_HEARTBEAT_SPACING.saturating_sub(started.elapsed())).await;
     }
 }
--- a/src/cinderspoke/agent/fetch.rs
+++ b/src/cinderspoke/agent/fetch.rs
@@ -1,4 +1,4 @@
-//! Drawing one chunk from the origin or a peer.
+//! Fetches one chunk from the origin or a peer.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -15,68 +15,68 @@
 use super::transfer::Context;
 use crate::util::http::{Call, Error};
 
-/// How long a peer may take to give a chunk.
+/// Default timeout for a chunk from a peer.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a peer is asked to wait for a chunk that it does not hold yet.
-const AWAIT: Duration = Duration::from_secs(5);
+/// By default, how long a peer waits for a chunk that it does not hold yet.
+const PEER_WAIT: Duration = Duration::from_secs(5);
 
-/// The slowest link over which a chunk is waited for, in bytes a second.
-const SLOWEST: u64 = 100_000;
+/// The slowest link for which the timeout of a chunk suffices, in bytes per second.
+const MIN_LINK_RATE: u64 = 100_000;
 
-/// How long peers may take to answer.
+/// Timeouts of requests for chunks to peers.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// To give a chunk that they hold, however small it is.
+    /// The timeout for a chunk that the peer holds, however small the chunk is.
     pub chunk: Duration,
-    /// To have a chunk that they do not hold yet.
+    /// How long the peer waits for a chunk that it does not hold yet.
     pub wait: Duration,
 }
 
 impl Default for Timeouts {
-    /// Timeouts for chunks of megabytes.
+    /// Timeouts for chunks of some megabytes.
     fn default() -> Self {
-        Self { chunk: CHUNK_TIMEOUT, wait: AWAIT }
+        Self { chunk: CHUNK_TIMEOUT, wait: PEER_WAIT }
     }
 }
 
 impl Timeouts {
-    /// How long a peer may take to give a chunk of a length: a large one is on its way for
-    /// longer, and would never be whole by the time that suffices for a small one.
+    /// The timeout for a chunk of a given length: the transfer of a large chunk takes longer, and
+    /// would never complete within the time that suffices for a small one.
     #[must_use]
     pub fn for_chunk(&self, length: size::Bytes) -> Duration {
-        let carried = length.as_u64().saturating_mul(1000) / SLOWEST;
-        self.chunk.max(Duration::from_millis(carried))
+        let transfer_ms = length.as_u64().saturating_mul(1000) / MIN_LINK_RATE;
+        self.chunk.max(Duration::from_millis(transfer_ms))
     }
 }
 
-/// A chunk that was asked for, and what came.
+/// The result of a request for a chunk.
 pub(super) struct Fetched {
-    /// The chunk.
+    /// The index of the chunk.
     pub(super) chunk: usize,
-    /// Who was asked.
+    /// The source that was requested.
     pub(super) source: Source,
     /// The bytes and their digest.
     pub(super) result: Result<(Digest, Bytes)>,
-    /// How long it was on its way; none where it was waited for.
+    /// How long the request took; none if the peer was asked to wait for the chunk.
     pub(super) took: Option<Duration>,
     /// What the request indicates about this instance's link.
     pub(super) observation: Observation,
 }
 
-/// What is asked of a source.
+/// A request for a chunk to a source.
 struct Request {
     manifest: Digest,
     // None for a chunk that the manifest does not have.
     digest: Option<Digest>,
     range: Range<u64>,
-    // Where the peer answers; none for the origin, and for a peer that has left.
+    // The peer's address; none for the origin, and for a peer that has left the swarm.
     address: Option<SocketAddr>,
-    // Whether the peer has yet to have the chunk itself.
+    // Whether the peer does not hold the chunk yet and is asked to wait for it.
     awaited: bool,
 }
 
-/// Draws one chunk, and hashes what came.
+/// Fetches one chunk and hashes it.
 pub(super) fn fetch(
     context: Arc<Context>,
     transfer: &Transfer<Fetching>,
@@ -140,34 +140,34 @@
     }
 }
 
-/// Draws a chunk from the origin.
+/// Fetches a chunk from the origin.
 async fn from_origin(context: &Context, request: Request) -> Result<Bytes> {
     let Request { manifest, range, .. } = request;
     context.pacer.acquire(length(&range)).await;
     Ok(context.origin.read(manifest, range).await?)
 }
 
-/// Draws a chunk from a peer, or waits there until the peer has it.
+/// Fetches a chunk from a peer, which waits for the chunk first if it is `awaited`.
 async fn from_peer(context: &Context, request: Request) -> Result<Bytes> {
     let Request { digest, range, address, awaited, .. } = request;
     if !awaited {
         context.pacer.acquire(length(&range)).await;
     }
-    let address = address.context("the peer has left")?;
-    let digest = digest.context("no such chunk")?;
+    let address = address.context("the peer has left the swarm")?;
+    let digest = digest.context("the manifest has no such chunk")?;
     let wait = if awaited { context.timeouts.wait } else { Duration::ZERO };
     let query = if awaited { format!("?wait_ms={}", wait.as_millis()) } else { String::new() };
     let call = Call::get(address, format!("/v1/chunks/{digest}{query}"));
     let call = call.limit(usize::MAX).timeout(wait + context.timeouts.for_chunk(length(&range)));
     let bytes = context.client.fetch(call).await?;
     if awaited {
-        // When it would come was not known before.
+        // Paced only now, since the time of the transfer was not known in advance.
         context.pacer.acquire(length(&range)).await;
     }
     Ok(bytes)
 }
 
-/// How many bytes of the weights a chunk has.
+/// The length of a chunk.
 fn length(range: &Range<u64>) -> size::Bytes {
     size::Bytes::new(range.end - range.start)
 }
--- a/src/cinderspoke/agent/holdings.rs
+++ b/src/cinderspoke/agent/holdings.rs
@@ -1,4 +1,4 @@
-//! Following what peers hold of a version.
+//! Follows which chunks of a version the peers hold, by long polling.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,31 +15,31 @@
 
 use crate::util::http::{Call, Client};
 
-/// How long a peer waits for more chunks before it answers. Its connection may have gone
-/// silent for good, which shows only when the answer is due: with [`MARGIN`] that is
-/// after 6 s, and a version has to be on all instances in little more.
+/// How long a peer waits for more chunks before it answers. A connection may stop responding for
+/// good, which is noticed only when the answer is due: with [`MARGIN`], that is after 6 s, and a
+/// version has to reach all instances in little more.
 const HOLDINGS_WAIT: Duration = Duration::from_secs(3);
 
-/// The least time between two looks at a peer's holdings.
+/// The pause between two requests for a peer's holdings.
 const HOLDINGS_PAUSE: Duration = Duration::from_millis(20);
 
-/// How much longer than it waits a peer may take to answer, over a link that chunks fill.
+/// The time allowed for a peer's answer beyond [`HOLDINGS_WAIT`], over a link saturated by chunks.
 const MARGIN: Duration = Duration::from_secs(3);
 
-/// How long to stay away from a peer that did not answer.
-const RETRY: Duration = Duration::from_millis(100);
+/// Delay before the next request to a peer that did not answer.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a peer says that it holds.
+/// The holdings that a peer reports.
 pub(super) struct PeerHoldings {
     /// The peer.
     pub(super) peer: Instance,
     /// The chunks that it holds.
     pub(super) chunks: Bitmap,
-    /// How many chunks it has given.
+    /// The bytes of chunks that it has served to peers.
     pub(super) given: u64,
 }
 
-/// Follows what the neighbours hold, a task each.
+/// Follows the neighbours' holdings, with one task for each neighbour.
 pub(super) struct Followers {
     client: Client,
     sender: mpsc::Sender<PeerHoldings>,
@@ -47,12 +47,12 @@
 }
 
 impl Followers {
-    /// Follows nobody yet; what peers say goes to the sender.
+    /// Creates followers of no peer yet; peers' holdings are sent to `sender`.
     pub(super) fn new(client: Client, sender: mpsc::Sender<PeerHoldings>) -> Self {
         Self { client, sender, running: BTreeMap::new() }
     }
 
-    /// Follows the neighbours that a transfer has now, and no others.
+    /// Follows a transfer's current neighbours, and stops following all others.
     pub(super) fn follow(&mut self, transfer: &Transfer<Fetching>) {
         let manifest = transfer.manifest().digest();
         let neighbours = transfer.neighbours();
@@ -82,7 +82,7 @@
     }
 }
 
-/// Tells each change of what a peer holds.
+/// Sends each change of a peer's holdings.
 async fn follow(
     client: Client,
     address: SocketAddr,
@@ -111,9 +111,9 @@
                 HOLDINGS_PAUSE
             }
             None => {
-                // A peer that restarted counts its revisions anew.
+                // A peer that has restarted counts its revisions from the start again.
                 after = 0;
-                RETRY
+                RETRY_DELAY
             }
         };
         sleep(pause).await;
--- a/src/cinderspoke/agent/mod.rs
+++ b/src/cinderspoke/agent/mod.rs
@@ -1,10 +1,10 @@
-//! The program beside each endpoint.
+//! The agent beside each endpoint.
 //!
-//! - [`control`] owns the instance's replicas and talks to the zone's entry
-//!   instances; it alone gives the endpoint orders.
-//! - [`transfer`] draws chunks into the [`cache`], each by [`fetch`], as `holdings`
-//!   tells what others hold; [`peers`] gives them.
-//! - [`requests`] passes requests on, as far as [`serving`] takes them.
+//! - [`control`] owns the instance's replicas and exchanges heartbeats with the entry instances of
+//!   the availability zone; it alone sends orders to the endpoint.
+//! - [`transfer`] fetches chunks into the [`cache`], each by [`fetch`]; `holdings` follows which
+//!   chunks the peers hold, and [`peers`] serves chunks to them.
+//! - [`requests`] forwards requests that [`serving`] admits to the endpoint.
 
 pub mod cache;
 pub mod control;
@@ -41,8 +41,8 @@
 use crate::util::http::Client;
 use crate::util::pacer::Pacer;
 
-/// For how many heartbeats a leaving agent still takes requests, so that
-/// entry instances can turn away first.
+/// For how many heartbeats a draining agent still accepts requests, so that entry instances can
+/// stop sending first.
 const LAME_DUCK_HEARTBEATS: u32 = 3;
 
 /// The endpoint beside the agent.
@@ -54,35 +54,35 @@
     Plain(Arc<dyn PlainService>),
 }
 
-/// What an agent is made of besides its settings.
+/// The dependencies of an [`Agent`].
 pub struct Parts {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// Where manifests come from.
+    /// The store of manifests.
     pub weight_store: Arc<dyn WeightStore>,
-    /// Where chunks come from at first.
+    /// The source of chunks that no peer holds yet.
     pub origin: Arc<dyn Origin>,
-    /// How chunks are chosen.
+    /// The policy by which transfers choose chunks.
     pub policy: Policy,
-    /// How other processes are reached.
+    /// The client for calls to other processes.
     pub client: Client,
-    /// Where the process's metrics are collected, if they are.
+    /// The process's metrics recorder, if metrics are served.
     pub metrics: Option<PrometheusHandle>,
-    /// Where control tasks run.
+    /// The runtime of control tasks.
     pub control: runtime::Handle,
 }
 
-/// What an agent's tasks share.
+/// The state that an agent's tasks share.
 pub struct Shared {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// The chunks.
+    /// The chunks of weights in memory.
     pub cache: Arc<cache::Cache>,
-    /// Which requests are taken.
+    /// The services whose requests are admitted.
     pub serving: Arc<serving::Table>,
-    /// What keeps transfers below the link's rate.
+    /// Keeps transfers below the link's rate.
     pub pacer: Arc<Pacer>,
-    /// What gives chunks to peers.
+    /// Serves chunks to peers.
     pub uploader: Arc<peers::Uploader>,
 }
 
@@ -100,32 +100,32 @@
     }
 }
 
-/// What an agent answers, by listener.
+/// An agent's routes, by listener.
 #[derive(Debug, Clone)]
 pub struct Routers {
-    /// For entry instances and peers.
+    /// The routes for entry instances and peers.
     pub main: Router,
-    /// For metrics and health.
+    /// The routes for metrics and health checks.
     pub admin: Router,
 }
 
-/// A running agent; dropping it ends its control tasks.
+/// A running agent; dropping it stops its control tasks.
 pub struct Agent {
     shared: Arc<Shared>,
     routers: Routers,
     heartbeat: Duration,
-    leaving: CancellationToken,
+    draining: CancellationToken,
     closing: CancellationToken,
     stop: CancellationToken,
     servers: Vec<JoinHandle<()>>,
 }
 
 impl Agent {
-    /// Starts an agent that does not listen yet.
+    /// Starts an agent's control tasks. It does not listen until [`Agent::bind`].
     #[must_use]
     pub fn open(settings: &settings::Agent, parts: Parts) -> Self {
         let tokens = || CancellationToken::new();
-        let (leaving, closing, stop) = (tokens(), tokens(), tokens());
+        let (draining, closing, stop) = (tokens(), tokens(), tokens());
         let shared = Arc::new(shared(settings, parts.endpoint));
 
         let transfers =
@@ -140,22 +140,22 @@
                 weight_store: parts.weight_store,
                 entries: settings.entries.clone(),
                 heartbeat,
-                leaving: leaving.clone(),
+                draining: draining.clone(),
                 stop: stop.clone(),
             });
         }
         let routers = Routers {
             main: app(Arc::clone(&shared)),
-            admin: admin_app(leaving.clone(), parts.metrics),
+            admin: admin_app(draining.clone(), parts.metrics),
         };
-        Self { shared, routers, heartbeat, leaving, closing, stop, servers: Vec::new() }
+        Self { shared, routers, heartbeat, draining, closing, stop, servers: Vec::new() }
     }
 
-    /// Listens on the addresses of the settings.
+    /// Listens on the addresses in the settings.
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened to.
+    /// When binding an address fails.
     pub async fn bind(&mut self, settings: &settings::Agent) -> Result<()> {
         let Routers { main, admin } = self.routers.clone();
         for (address, app) in [(settings.listen, main), (settings.admin, admin)] {
@@ -166,34 +166,35 @@
         Ok(())
     }
 
-    /// What it answers, by listener.
+    /// The agent's routes, by listener.
     #[must_use]
     pub fn routers(&self) -> &Routers {
         &self.routers
     }
 
-    /// How many chunks of a version are held, and how many there are.
+    /// The number of a version's chunks in the cache and its total number of chunks; `None` if the
+    /// cache does not track the version.
     #[must_use]
     pub fn progress(&self, manifest: Digest) -> Option<(usize, usize)> {
         self.shared.cache.progress(manifest)
     }
 
-    /// The bytes of weights that were fetched and given.
+    /// The bytes of weights fetched and served to peers in all.
     #[must_use]
     pub fn carried(&self) -> Bytes {
         self.shared.pacer.total()
     }
 
-    /// Stops in order: no request in progress is cut off.
+    /// Stops gracefully: drains first, so that no request in progress is aborted.
     pub async fn stop(mut self) {
         tracing::info!("stopping");
-        self.leaving.cancel();
+        self.draining.cancel();
         tokio::time::sleep(self.heartbeat * LAME_DUCK_HEARTBEATS).await;
         self.shared.serving.close();
         self.shared.serving.wait_idle().await;
         self.closing.cancel();
         for server in self.servers.drain(..) {
-            // A server that panicked has ended as well.
+            // Fails only if the server panicked, and then it has stopped as well.
             let _ = server.await;
         }
     }
@@ -205,17 +206,18 @@
     }
 }
 
-/// What traffic and control share.
+/// Creates the state that traffic and control tasks share.
 fn shared(settings: &settings::Agent, endpoint: Endpoint) -> Shared {
     let cache = Arc::new(cache::Cache::new(settings.chunk_memory));
     let pacer = Arc::new(Pacer::new(settings.link_rate));
     let uploads = settings.uploads.get() as usize;
-    let (given, paced) = (Arc::clone(&cache), Arc::clone(&pacer));
-    let uploader = Arc::new(peers::Uploader::new(given, paced, uploads, Duration::ZERO));
+    let (shared_cache, shared_pacer) = (Arc::clone(&cache), Arc::clone(&pacer));
+    let uploader = peers::Uploader::new(shared_cache, shared_pacer, uploads, Duration::ZERO);
+    let uploader = Arc::new(uploader);
     Shared { endpoint, cache, serving: Arc::default(), pacer, uploader }
 }
 
-/// What all transfers share.
+/// Creates the context that all transfers share.
 fn transfers(
     settings: &settings::Agent,
     shared: &Shared,
@@ -233,7 +235,7 @@
         max_downloads: settings.downloads.get() as usize,
         max_origin_downloads: ORIGIN_DOWNLOADS,
         origin_spacing: Duration::ZERO,
-        penalty: SOURCE_BACKOFF,
+        source_backoff: SOURCE_BACKOFF,
         timeouts: fetch::Timeouts::default(),
         slow_chunk: None,
         link: Arc::default(),
@@ -265,15 +267,15 @@
     let peers = peers::app(Arc::clone(&shared.uploader));
     Router::new()
         .route("/v1/requests/{service}/{*path}", any(requests::handle))
-        // The entry instance that passes a request on has limited its size.
+        // The entry instance that forwards a request has limited its size.
         .layer(DefaultBodyLimit::disable())
         .with_state(shared)
         .merge(peers)
 }
 
-fn admin_app(leaving: CancellationToken, metrics: Option<PrometheusHandle>) -> Router {
-    let ready = |State(leaving): State<CancellationToken>| async move {
-        match leaving.is_cancelled() {
+fn admin_app(draining: CancellationToken, metrics: Option<PrometheusHandle>) -> Router {
+    let ready = |State(draining): State<CancellationToken>| async move {
+        match draining.is_cancelled() {
             true => (StatusCode::SERVICE_UNAVAILABLE, "stopping"),
             false => (StatusCode::OK, "ready"),
         }
@@ -283,5 +285,5 @@
         .route("/metrics", get(scrape))
         .route("/healthz", get(|| async { "ok" }))
         .route("/readyz", get(ready))
-        .with_state(leaving)
+        .with_state(draining)
 }
--- a/src/cinderspoke/agent/peers.rs
+++ b/src/cinderspoke/agent/peers.rs
@@ -1,4 +1,4 @@
-//! What an agent gives to peers: chunks, and word of which it holds.
+//! Serves chunks, and the list of chunks that are held, to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,37 +20,43 @@
 use crate::util::metrics::WEIGHTS_UPLOADED;
 use crate::util::pacer::Pacer;
 
-/// The longest that a peer may wait for more chunks.
+/// The maximum wait that a peer may request.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// What gives chunks to peers.
+/// Serves chunks to peers, with limited concurrency and rate.
 #[derive(Debug)]
 pub struct Uploader {
     cache: Arc<Cache>,
     pacer: Arc<Pacer>,
-    // One permit for each chunk that may be given at once.
+    // One permit for each concurrent upload.
     uploads: Semaphore,
-    // How long a peer waits for a permit before it is sent elsewhere.
-    queue: Duration,
+    // How long a request waits for a permit before it is refused.
+    queue_timeout: Duration,
 }
 
 impl Uploader {
-    /// Gives chunks of a cache, so many at once; others wait so long.
+    /// Creates an uploader of a cache's chunks with at most `uploads` at once; further requests
+    /// wait for at most `queue_timeout`.
     #[must_use]
-    pub fn new(cache: Arc<Cache>, pacer: Arc<Pacer>, uploads: usize, queue: Duration) -> Self {
-        Self { cache, pacer, uploads: Semaphore::new(uploads), queue }
+    pub fn new(
+        cache: Arc<Cache>,
+        pacer: Arc<Pacer>,
+        uploads: usize,
+        queue_timeout: Duration,
+    ) -> Self {
+        Self { cache, pacer, uploads: Semaphore::new(uploads), queue_timeout }
     }
 
-    /// A permit to give a chunk; none when others take too long.
+    /// Acquires a permit for an upload; `None` when none is free within the queue timeout.
     async fn permit(&self) -> Option<SemaphorePermit<'_>> {
-        if self.queue.is_zero() {
+        if self.queue_timeout.is_zero() {
             return self.uploads.try_acquire().ok();
         }
-        timeout(self.queue, self.uploads.acquire()).await.ok()?.ok()
+        timeout(self.queue_timeout, self.uploads.acquire()).await.ok()?.ok()
     }
 }
 
-/// What peers may ask.
+/// The routes that peers request.
 pub fn app(uploader: Arc<Uploader>) -> Router {
     Router::new()
         .route("/v1/chunks/{digest}", get(chunk))
@@ -58,13 +64,14 @@
         .with_state(uploader)
 }
 
-/// How long a peer waits for a chunk that is not held yet.
+/// The query parameters of a request for a chunk.
 #[derive(Debug, Deserialize)]
 pub struct ChunkQuery {
+    // How long to wait for a chunk that is not held yet.
     wait_ms: Option<u64>,
 }
 
-/// Gives a chunk; 503 says that others are being given at the moment.
+/// Serves a chunk; 503 when too many uploads are in progress, 404 when it is not held.
 pub async fn chunk(
     State(uploader): State<Arc<Uploader>>,
     Path(digest): Path<Digest>,
@@ -72,17 +79,17 @@
 ) -> Result<Bytes, StatusCode> {
     if let Some(wait) = query.wait_ms {
         let wait = Duration::from_millis(wait).min(MAX_WAIT);
-        // When the wait is over, the chunk is not found below.
+        // After a timeout, the lookup in `upload` returns 404.
         let _ = timeout(wait, uploader.cache.wait_for(digest)).await;
         let _upload =
             uploader.uploads.acquire().await.map_err(|_| StatusCode::SERVICE_UNAVAILABLE)?;
-        return give(&uploader, digest).await;
+        return upload(&uploader, digest).await;
     }
     let _upload = uploader.permit().await.ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
-    give(&uploader, digest).await
+    upload(&uploader, digest).await
 }
 
-async fn give(uploader: &Uploader, digest: Digest) -> Result<Bytes, StatusCode> {
+async fn upload(uploader: &Uploader, digest: Digest) -> Result<Bytes, StatusCode> {
     let bytes = uploader.cache.serve(digest).ok_or(StatusCode::NOT_FOUND)?;
     let length = bytes.len() as u64;
     uploader.pacer.acquire(size::Bytes::new(length)).await;
@@ -90,14 +97,16 @@
     Ok(bytes)
 }
 
-/// Which holdings a peer knows already, and how long it waits for newer ones.
+/// The query parameters of a request for holdings.
 #[derive(Debug, Deserialize)]
 pub struct HoldingsQuery {
+    // The revision that the peer knows; 0 for none.
     after: u64,
+    // How long to wait for a newer revision.
     wait_ms: u64,
 }
 
-/// Tells which chunks of a version are held, as soon as there are newer ones.
+/// Serves the chunks held of a version, as soon as they differ from the peer's revision.
 pub async fn holdings(
     State(uploader): State<Arc<Uploader>>,
     Path(manifest): Path<Digest>,
@@ -109,7 +118,7 @@
         return Ok(Json(holdings));
     }
     let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
-    // Whether it changed or the wait is over, the newest holdings are told.
+    // The newest holdings are served also when the wait times out.
     let _ = timeout(wait, revision.changed()).await;
     let (holdings, _) = uploader.cache.holdings(manifest).ok_or(StatusCode::NOT_FOUND)?;
     Ok(Json(holdings))
--- a/src/cinderspoke/agent/requests.rs
+++ b/src/cinderspoke/agent/requests.rs
@@ -1,7 +1,7 @@
-//! Passing requests on to the endpoint.
+//! Forwards requests to the endpoint.
 //!
-//! An answer names its outcome: `not-run` is said only when the endpoint has
-//! not got the request and will not; anything that is not certain is `unknown`.
+//! Each answer names its outcome: `not-run` only if the endpoint has not received the request and
+//! will not receive it; any case that is not certain is `unknown`.
 
 use std::sync::Arc;
 
@@ -22,20 +22,20 @@
 use crate::endpoint::{Error, ModelEngine, Piece, Pieces, PlainService};
 use crate::entry::callers::{MANIFEST, OUTCOME, PRIORITY};
 
-/// Answers a request that an entry instance passed on.
+/// Handles a request that an entry instance forwarded.
 pub async fn handle(
     State(shared): State<Arc<Shared>>,
     Path((service, path)): Path<(Service, String)>,
     request: Request<Body>,
 ) -> Response {
-    let Ok(wanted) = wanted(request.headers()) else {
+    let Ok(manifest) = requested_manifest(request.headers()) else {
         return refuse(
             Outcome::Bad,
             StatusCode::BAD_REQUEST,
             "the manifest asked for is no digest",
         );
     };
-    let Some(guard) = shared.serving.admit(&service, wanted) else {
+    let Some(guard) = shared.serving.admit(&service, manifest) else {
         let reason = "the service is not answered here with these weights";
         return refuse(Outcome::NotRun, StatusCode::SERVICE_UNAVAILABLE, reason);
     };
@@ -61,8 +61,8 @@
     response
 }
 
-/// The weights that the entry instance asks for; `None` for a plain service.
-fn wanted(headers: &HeaderMap) -> Result<Option<Digest>, ()> {
+/// The manifest of the weights that the entry instance requests; `None` for a plain service.
+fn requested_manifest(headers: &HeaderMap) -> Result<Option<Digest>, ()> {
     let Some(value) = headers.get(MANIFEST) else { return Ok(None) };
     let text = value.to_str().map_err(drop)?;
     text.parse().map(Some).map_err(drop)
@@ -92,8 +92,8 @@
     headers.get(PRIORITY)?.to_str().ok()?.parse().ok()
 }
 
-/// The pieces as lines; an answer that breaks off ends with an error, so that
-/// it cannot be taken for a whole one.
+/// Encodes an answer's pieces as lines. An incomplete answer ends with an error, so that it cannot
+/// be mistaken for a complete one.
 fn lines(pieces: Pieces, guard: Guard) -> impl futures::Stream<Item = std::io::Result<Bytes>> {
     let start = Some((pieces, guard));
     stream::unfold(start, |state| async {
@@ -127,7 +127,8 @@
     let (mut head, body) = response.into_parts();
     head.headers.insert(OUTCOME, HeaderValue::from_static(Outcome::Answered.as_str()));
     let stream = body.into_data_stream().map(move |frame| {
-        let _held = &guard;
+        // Moves the guard into the stream, so that it lives as long as the body.
+        let _guard = &guard;
         frame
     });
     Ok(Response::from_parts(head, Body::from_stream(stream)))
--- a/src/cinderspoke/agent/serving.rs
+++ b/src/cinderspoke/agent/serving.rs
@@ -1,4 +1,4 @@
-//! Which requests an agent takes, and how many use which weights.
+//! Admits requests, and counts the requests in progress by the weights they use.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,15 +8,15 @@
 use cinderspoke_types::id::Service;
 use tokio::sync::Notify;
 
-/// Requests by the weights they use; `None` stands for a plain service.
 #[derive(Debug, Default)]
 struct State {
     services: BTreeMap<Service, replica::Serving>,
+    // The requests in progress by the weights they use; `None` stands for a plain service.
     in_use: BTreeMap<Option<Digest>, u32>,
     closed: bool,
 }
 
-/// What an agent answers with, shared by all its requests.
+/// The services that an agent serves, shared by all its requests.
 #[derive(Debug, Default)]
 pub struct Table {
     state: Mutex<State>,
@@ -54,15 +54,15 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what each service is answered with from now on.
+    /// Sets what each service's requests are answered with from now on.
     pub fn set(&self, services: BTreeMap<Service, replica::Serving>) {
         self.lock().services = services;
     }
 
-    /// Takes a request, if the service is answered here with the weights asked for.
+    /// Admits a request, if the service is served here with the requested weights.
     ///
-    /// `None` says that the request has not run and will not.
-    pub fn admit(self: &Arc<Self>, service: &Service, wanted: Option<Digest>) -> Option<Guard> {
+    /// If it returns `None`, the request has not run and will not run.
+    pub fn admit(self: &Arc<Self>, service: &Service, requested: Option<Digest>) -> Option<Guard> {
         let mut state = self.lock();
         if state.closed {
             return None;
@@ -72,25 +72,25 @@
             replica::Serving::Plain => None,
             replica::Serving::Weights(manifest) => Some(*manifest),
         };
-        if manifest != wanted {
+        if manifest != requested {
             return None;
         }
         *state.in_use.entry(manifest).or_default() += 1;
         Some(Guard { table: Arc::clone(self), manifest })
     }
 
-    /// Takes no more requests.
+    /// Stops admitting requests.
     pub fn close(&self) {
         self.lock().closed = true;
     }
 
-    /// How many requests are in progress.
+    /// The number of requests in progress.
     #[must_use]
     pub fn in_progress(&self) -> u32 {
         self.lock().in_use.values().sum()
     }
 
-    /// Waits until no request uses some weights.
+    /// Waits until no request uses the weights of a manifest.
     pub async fn wait_unused(&self, manifest: Digest) {
         self.wait(|state| state.in_use.get(&Some(manifest)).is_none_or(|count| *count == 0)).await;
     }
@@ -104,7 +104,7 @@
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
-            // Listening starts before the look, so that no change is missed.
+            // Enabled before the condition is checked, so that no change is missed.
             changed.as_mut().enable();
             if done(&self.lock()) {
                 return;
--- a/src/cinderspoke/agent/transfer.rs
+++ b/src/cinderspoke/agent/transfer.rs
@@ -1,4 +1,4 @@
-//! Carrying out a transfer: drawing chunks as [`cinderspoke_core::transfer`] decides.
+//! Executes transfers: fetches chunks as [`cinderspoke_core::transfer`] decides.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -28,69 +28,69 @@
 use crate::util::metrics::{CORRUPT, WEIGHTS_FETCHED};
 use crate::util::pacer::Pacer;
 
-/// How often a transfer that waits looks again.
-const TICK: Duration = Duration::from_millis(100);
+/// How often a waiting transfer checks for its next step.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often one looks whose draws from the origin have turns.
-const TURN_TICK: Duration = Duration::from_millis(20);
+/// How often a waiting transfer checks for its next step if fetches from the origin are spaced.
+const SPACED_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long to stay away from a weight store that did not answer, at first.
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+/// The first back-off after a weight store did not answer.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// How long to stay away from a weight store that did not answer, at most.
-const LAST_BACKOFF: Duration = Duration::from_secs(5);
+/// The longest back-off after a weight store did not answer.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// How long a transfer waits for others at least before it steps in.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// The part of the fallback timeout that does not depend on the size of the weights.
+const BASE_FALLBACK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of the patience that is left when only time counts.
-const LEAST_PATIENCE: f64 = 0.2;
+/// The share of the fallback timeout that remains when bytes from the origin cost nothing.
+const MIN_FALLBACK_SHARE: f64 = 0.2;
 
-/// What a link is taken to carry when its rate is not set, in bytes a second.
-const ASSUMED_RATE: u64 = 64 << 20;
+/// The assumed rate of a link whose rate is not set, in bytes per second.
+const DEFAULT_LINK_RATE: u64 = 64 << 20;
 
-/// What transfers need, shared by all of an agent's.
+/// The dependencies and limits of transfers, shared by all transfers of an agent.
 pub struct Context {
-    /// Where chunks are kept.
+    /// The cache that chunks are inserted into.
     pub cache: Arc<Cache>,
-    /// Where chunks come from at first.
+    /// The source of chunks that no peer holds yet.
     pub origin: Arc<dyn Origin>,
-    /// How peers are reached.
+    /// The client for calls to peers.
     pub client: Client,
-    /// What keeps transfers below the link's rate.
+    /// Keeps transfers below the link's rate.
     pub pacer: Arc<Pacer>,
-    /// How chunks are chosen.
+    /// The policy by which chunks are chosen.
     pub policy: Policy,
-    /// What the link carries, where that is known.
+    /// The rate of the instance's link, if known.
     pub link_rate: Option<ByteRate>,
     /// The most chunks fetched at once.
     pub max_downloads: usize,
     /// The most chunks fetched from the origin at once.
     pub max_origin_downloads: usize,
-    /// The time that the origin's link takes for a chunk; zero where draws need no turns.
+    /// The time that the origin's link takes for a chunk; zero if fetches need not be spaced.
     pub origin_spacing: Duration,
-    /// How long a source that failed is left alone.
-    pub penalty: Duration,
-    /// How long peers may take.
+    /// How long no chunk is requested from a source after it failed.
+    pub source_backoff: Duration,
+    /// Timeouts of requests to peers.
     pub timeouts: Timeouts,
-    /// How long a chunk may take before the link is taken to carry less than it should.
+    /// The time of a chunk above which the link is considered slower than it should be.
     pub slow_chunk: Option<Duration>,
-    /// What chunks tell of the link.
+    /// The state of the instance's link, as requests for chunks observe it.
     pub link: Arc<Mutex<Link>>,
-    /// How long neighbours have to say what they hold before anything is fetched.
+    /// How long a transfer waits for its neighbours' holdings before it starts to fetch.
     pub initial_holdings_wait: Duration,
     /// The agent's clock.
     pub clock: Clock,
 }
 
-/// The members of a swarm, and the weight of origin bytes.
+/// The members of a swarm, and the cost of bytes from the origin.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Members {
-    /// The instance that draws.
+    /// The instance that fetches.
     pub own: Peer,
     /// All replicas of the weights.
     pub peers: Vec<Peer>,
-    /// What bytes from the origin count against time.
+    /// The cost of bytes from the origin relative to time.
     pub origin_weight: f64,
 }
 
@@ -100,13 +100,14 @@
     }
 }
 
-/// Draws some weights whole and verifies them.
+/// Fetches all chunks of some weights and verifies the weights.
 ///
-/// Tries until it has them; only a whole that does not fit its manifest ends it.
+/// Retries until all chunks are fetched.
 ///
 /// # Errors
 ///
-/// When every chunk is right but the whole is not.
+/// When each chunk matches its digest but the weights as a whole do not, or when chunks are
+/// evicted before the verification.
 pub async fn run(
     context: Arc<Context>,
     store: Arc<dyn WeightStore>,
@@ -117,7 +118,7 @@
     collect(context, manifest, members).await
 }
 
-/// Draws the weights of a manifest whole and verifies them, as [`run`] does.
+/// Fetches and verifies the weights of a manifest, as [`run`] does.
 ///
 /// # Errors
 ///
@@ -136,38 +137,38 @@
     (0..held.len())
         .filter(|chunk| held.contains(*chunk))
         .for_each(|chunk| transfer.record_held(chunk));
-    draw(&context, &mut transfer, members).await;
+    fetch_all(&context, &mut transfer, members).await;
     let manifest = transfer.manifest().digest();
     let chunks =
-        context.cache.all_chunks(manifest).context("chunks were dropped before loading")?;
+        context.cache.all_chunks(manifest).context("chunks were evicted before loading")?;
     let whole = digest_of(algorithm, &chunks).await;
     Ok(transfer.verify(whole)?)
 }
 
-/// How much a transfer draws at once, and how long it waits.
+/// The limits of a transfer's concurrency and waits.
 fn limits(context: &Context, manifest: &Manifest, origin_weight: f64) -> Limits {
     Limits {
         downloads: context.max_downloads,
         origin_downloads: context.max_origin_downloads,
         spacing: context.origin_spacing,
-        source_backoff: context.penalty,
+        source_backoff: context.source_backoff,
         slow_chunk: context.slow_chunk,
-        fallback_timeout: patience(context, manifest, origin_weight),
+        fallback_timeout: fallback_timeout(context, manifest, origin_weight),
     }
 }
 
-/// How long to wait for others before drawing from the origin in their place:
-/// the time of a copy over this link and some more, and less of it where bytes
-/// from the origin count for less.
-fn patience(context: &Context, manifest: &Manifest, origin_weight: f64) -> Duration {
-    let rate = context.link_rate.map_or(ASSUMED_RATE, |rate| rate.as_bytes().as_u64());
+/// How long a transfer waits for the agents assigned to a chunk before it fetches the chunk from
+/// the origin in their place: the time of a copy over this link plus [`BASE_FALLBACK_TIMEOUT`], less the
+/// lower the cost of bytes from the origin is.
+fn fallback_timeout(context: &Context, manifest: &Manifest, origin_weight: f64) -> Duration {
+    let rate = context.link_rate.map_or(DEFAULT_LINK_RATE, |rate| rate.as_bytes().as_u64());
     let copy = Duration::from_secs_f64(manifest.size().as_u64() as f64 / rate as f64);
-    (PATIENCE + copy)
-        .mul_f64(LEAST_PATIENCE + (1.0 - LEAST_PATIENCE) * origin_weight.clamp(0.0, 1.0))
+    let weight = origin_weight.clamp(0.0, 1.0);
+    (BASE_FALLBACK_TIMEOUT + copy).mul_f64(MIN_FALLBACK_SHARE + (1.0 - MIN_FALLBACK_SHARE) * weight)
 }
 
 async fn read_manifest(store: &dyn WeightStore, digest: Digest) -> Manifest {
-    let mut backoff = FIRST_BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     loop {
         let wait = match store.manifest(digest).await {
             Ok(manifest) => return manifest,
@@ -178,11 +179,11 @@
             }
         };
         sleep(wait).await;
-        backoff = (backoff * 2).min(LAST_BACKOFF);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-/// Hashes the whole, and lets other tasks run between chunks.
+/// Hashes the weights as a whole; yields to other tasks between chunks.
 async fn digest_of(algorithm: Algorithm, chunks: &[Bytes]) -> Digest {
     let mut hasher = Hasher::new(algorithm);
     for chunk in chunks {
@@ -192,19 +193,19 @@
     hasher.finish()
 }
 
-/// Draws chunks until all are there.
-async fn draw(
+/// Fetches chunks until all are cached.
+async fn fetch_all(
     context: &Arc<Context>,
     transfer: &mut Transfer<Fetching>,
     mut members: watch::Receiver<Members>,
 ) {
     let mut fetches = JoinSet::new();
-    let turns = !context.origin_spacing.is_zero();
-    let mut ticks = interval(if turns { TURN_TICK } else { TICK });
+    let is_spaced = !context.origin_spacing.is_zero();
+    let mut ticks = interval(if is_spaced { SPACED_POLL_INTERVAL } else { POLL_INTERVAL });
     let (sender, mut holdings) = mpsc::channel(64);
     let mut followers = Followers::new(context.client.clone(), sender);
     followers.follow(transfer);
-    introduce(context, transfer, &mut holdings).await;
+    wait_holdings(context, transfer, &mut holdings).await;
     loop {
         loop {
             match transfer.step(context.clock.now()) {
@@ -221,8 +222,8 @@
         }
         tokio::select! {
             biased;
-            Some(Ok(fetched)) = fetches.join_next() => take(context, transfer, fetched),
-            Some(held) = holdings.recv() => hear(transfer, &held),
+            Some(Ok(fetched)) = fetches.join_next() => apply_fetched(context, transfer, fetched),
+            Some(held) = holdings.recv() => apply_holdings(transfer, &held),
             Ok(()) = members.changed() => {
                 let swarm = members.borrow_and_update().swarm(transfer.manifest().digest());
                 transfer.set_swarm(swarm);
@@ -233,30 +234,31 @@
     }
 }
 
-/// Takes in what a peer holds.
-fn hear(transfer: &mut Transfer<Fetching>, held: &PeerHoldings) {
+/// Applies a peer's holdings.
+fn apply_holdings(transfer: &mut Transfer<Fetching>, held: &PeerHoldings) {
     transfer.record_peer(&held.peer, &held.chunks, held.given);
 }
 
-/// Lets neighbours say what they hold, so that nothing is fetched from afar that is near.
-async fn introduce(
+/// Waits for the neighbours' holdings, so that no chunk is fetched from a distant source that a
+/// near one holds.
+async fn wait_holdings(
     context: &Context,
     transfer: &mut Transfer<Fetching>,
     holdings: &mut mpsc::Receiver<PeerHoldings>,
 ) {
     let neighbours = transfer.neighbours().len();
-    let heard = async {
+    let received = async {
         for _ in 0..neighbours {
             let Some(held) = holdings.recv().await else { return };
-            hear(transfer, &held);
+            apply_holdings(transfer, &held);
         }
     };
-    // Those that say nothing in time are heard later.
-    let _ = tokio::time::timeout(context.initial_holdings_wait, heard).await;
+    // After a timeout, the missing holdings are applied when they arrive.
+    let _ = tokio::time::timeout(context.initial_holdings_wait, received).await;
 }
 
-/// Takes in a chunk that came, or that it did not.
-fn take(context: &Context, transfer: &mut Transfer<Fetching>, fetched: Fetched) {
+/// Applies the result of a request for a chunk.
+fn apply_fetched(context: &Context, transfer: &mut Transfer<Fetching>, fetched: Fetched) {
     let Fetched { chunk, source, result, took, observation } = fetched;
     let now = context.clock.now();
     if let Some(took) = took {
--- a/src/cinderspoke/staging/mod.rs
+++ b/src/cinderspoke/staging/mod.rs
@@ -77,7 +77,7 @@
 
 /// How long no chunk is requested from a source after it failed. Short, since fetching a whole
 /// version takes only a few seconds.
-const PENALTY: Duration = Duration::from_millis(250);
+const SOURCE_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Timeouts for peers: a chunk may wait behind others for [`UPLOAD_QUEUE_TIMEOUT`], and its
 /// transfer takes a small part of that.
@@ -181,7 +181,7 @@
         max_downloads: DOWNLOADS,
         max_origin_downloads: ORIGIN_DOWNLOADS,
         origin_spacing: Duration::ZERO,
-        penalty: PENALTY,
+        source_backoff: SOURCE_BACKOFF,
         timeouts: TIMEOUTS,
         slow_chunk: Some(SLOW_CHUNK),
         link,
--- a/tests/testsuite/silent_peer.rs
+++ b/tests/testsuite/silent_peer.rs
@@ -97,7 +97,7 @@
         max_downloads: 6,
         max_origin_downloads: 1,
         origin_spacing: Duration::ZERO,
-        penalty: Duration::from_millis(250),
+        source_backoff: Duration::from_millis(250),
         timeouts: Timeouts { chunk: Duration::from_millis(1000), wait: Duration::from_millis(700) },
         slow_chunk: None,
         link: Arc::default(),
