--- a/src/cinderspoke/agent/control.rs
+++ b/src/cinderspoke/agent/control.rs
@@ -171,7 +171,7 @@
                         .for_each(|weights| self.replicas.restore_loaded(weights));
                     return;
                 }
-                Err(error) => tracing::warn!(%error, "asking the engine what it holds"),
+                Err(error) => tracing::warn!(%error, "failed to read the engine's inventory"),
             }
             sleep(RETRY_DELAY).await;
         }
--- a/src/cinderspoke/agent/transfer.rs
+++ b/src/cinderspoke/agent/transfer.rs
@@ -174,7 +174,7 @@
             Ok(manifest) => return manifest,
             Err(Error::RateLimited(wait)) => wait,
             Err(error) => {
-                tracing::warn!(%error, manifest = %digest.to_short(), "reading a manifest");
+                tracing::warn!(%error, manifest = %digest.to_short(), "failed to read a manifest");
                 backoff
             }
         };
@@ -272,7 +272,7 @@
     let (digest, bytes) = match result {
         Ok(chunk) => chunk,
         Err(error) => {
-            tracing::debug!(chunk, ?source, error = format!("{error:#}"), "drawing a chunk");
+            tracing::debug!(chunk, ?source, error = format!("{error:#}"), "failed to fetch a chunk");
             return transfer.record_failure(chunk, now);
         }
     };
@@ -283,7 +283,7 @@
         Arrival::Unwanted => {}
         Arrival::Corrupt => {
             counter!(CORRUPT, "source" => label).increment(1);
-            tracing::warn!(chunk, ?source, "a chunk arrived corrupt");
+            tracing::warn!(chunk, ?source, "received a corrupt chunk");
         }
     }
 }
--- a/src/cinderspoke/staging/collect.rs
+++ b/src/cinderspoke/staging/collect.rs
@@ -76,7 +76,7 @@
                 Ok(false) => {}
                 Err(error) => {
                     let error = format!("{error:#}");
-                    tracing::debug!(version = %desired.version, error, "reading a listing again");
+                    tracing::debug!(version = %desired.version, error, "failed to fetch a listing again");
                 }
             }
         }
--- a/src/cinderspoke/staging/plan.rs
+++ b/src/cinderspoke/staging/plan.rs
@@ -164,7 +164,7 @@
         let version = plan.rollout.version(&model);
         let mut desired = self.desired.lock().unwrap_or_else(PoisonError::into_inner);
         if desired.as_ref().is_none_or(|known| known.model != model || known.version < version) {
-            tracing::info!(%model, %version, peers = plan.peers.len(), "version wanted");
+            tracing::info!(%model, %version, peers = plan.peers.len(), "desired version changed");
             *desired = Some(DesiredVersion { model, version, since: Instant::now() });
         }
     }
--- a/src/cinderspoke/staging/report.rs
+++ b/src/cinderspoke/staging/report.rs
@@ -319,7 +319,7 @@
         }
         let Some(permit) = self.reads.try_acquire() else { return };
         if let Err(error) = self.plans.fetch(from).await {
-            tracing::debug!(%from, error = format!("{error:#}"), "reading a plan");
+            tracing::debug!(%from, error = format!("{error:#}"), "failed to read a plan");
         }
         permit.release().await;
     }
--- a/src/cinderspoke/staging/source.rs
+++ b/src/cinderspoke/staging/source.rs
@@ -43,9 +43,9 @@
         // Usually a single agent of the service fetches a given chunk from the origin, so these
         // lines show when the origin stopped answering and which chunks had arrived by then.
         match &read {
-            Ok(_) => tracing::info!(%version, chunk, took_ms, "the origin gave a chunk"),
+            Ok(_) => tracing::info!(%version, chunk, took_ms, "fetched a chunk from the origin"),
             Err(error) => {
-                tracing::info!(%version, chunk, took_ms, %error, "the origin gave no chunk");
+                tracing::info!(%version, chunk, took_ms, %error, "failed to fetch a chunk from the origin");
             }
         }
         read
