--- a/tests/testsuite/chunk_times.rs
+++ b/tests/testsuite/chunk_times.rs
@@ -1,4 +1,4 @@
-//! How long a peer may take to give a chunk.
+//! The timeout for a chunk from a peer.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 const TIMEOUTS: Timeouts = Timeouts { chunk: Duration::from_secs(1), wait: Duration::from_secs(1) };
 
-// A chunk that takes longer than the time that suffices for small ones is fetched in vain
-// again and again.
+// Guards against a timeout that suffices only for small chunks: a large one would be requested
+// again and again and never complete.
 #[test]
-fn a_large_chunk_may_take_as_long_as_a_slow_link_does() {
+fn the_timeout_of_a_large_chunk_suffices_for_a_slow_link() {
     assert_eq!(TIMEOUTS.for_chunk(Bytes::new(24_576)), Duration::from_secs(1));
     assert_eq!(TIMEOUTS.for_chunk(Bytes::from_mib(16)), Duration::from_millis(167_772));
 }
--- a/tests/testsuite/hints.rs
+++ b/tests/testsuite/hints.rs
@@ -1,4 +1,4 @@
-//! Agents whom gateways hint at plans.
+//! Agents that receive hints at plans from gateways.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::staging::{Empty, hint, model, settings};
+use crate::staging::{FakeEngine, hint, model, settings};
 
-/// How long it takes to read a plan.
-const TAKES: Duration = Duration::from_millis(100);
+/// How long a gateway takes to serve the plan.
+const READ_TIME: Duration = Duration::from_millis(100);
 
-/// How often a plan is being read, was at most at once, and was in all.
+/// Counts reads of a plan: in progress, the most at once, and in all.
 #[derive(Default)]
 struct Reads {
     now: AtomicUsize,
@@ -31,12 +31,12 @@
 }
 
 impl Reads {
-    /// One read, which takes a while.
-    async fn one(&self, plan: Vec<u8>) -> Vec<u8> {
+    /// Serves one read after [`READ_TIME`].
+    async fn serve(&self, plan: Vec<u8>) -> Vec<u8> {
         self.all.fetch_add(1, Ordering::Relaxed);
         let now = self.now.fetch_add(1, Ordering::Relaxed) + 1;
         self.most.fetch_max(now, Ordering::Relaxed);
-        sleep(TAKES).await;
+        sleep(READ_TIME).await;
         self.now.fetch_sub(1, Ordering::Relaxed);
         plan
     }
@@ -49,11 +49,12 @@
     Plan { rollout, models: vec!["m".into()], ..Plan::default() }
 }
 
-/// Gateways that tell the plan, so many, and their reads.
+/// Starts gateways that serve the plan, and counts their reads.
 async fn gateways(count: usize) -> (Vec<SocketAddr>, Arc<Reads>) {
     let (reads, bytes) = (Arc::new(Reads::default()), pack(&plan()));
     let counted = Arc::clone(&reads);
-    let app = Router::new().route("/v1/plan", get(async move || counted.one(bytes.clone()).await));
+    let app =
+        Router::new().route("/v1/plan", get(async move || counted.serve(bytes.clone()).await));
     let gateways: Vec<_> = (0..count).map(|_| address::free().unwrap()).collect();
     for gateway in &gateways {
         let listener = TcpListener::bind(gateway).await.unwrap();
@@ -63,12 +64,12 @@
     (gateways, reads)
 }
 
-/// An agent that listens to gateways.
+/// An agent that receives gateways' datagrams.
 struct Agent {
     own: SocketAddr,
     plans: Arc<Plans>,
     listening: JoinHandle<()>,
-    // Where it is hinted at plans from.
+    // The socket from which hints are sent to it.
     hinting: UdpSocket,
 }
 
@@ -78,7 +79,7 @@
         let plans = Arc::new(Plans::new(&settings, "svc".into(), Client::new()));
         let socket = UdpSocket::bind((seed.ip(), 0)).await.unwrap();
         let (own, beside) = (socket.local_addr().unwrap(), settings.beside.as_ref().unwrap());
-        let engine = Arc::new(Empty::default());
+        let engine = Arc::new(FakeEngine::default());
         let known = Arc::clone(&plans);
         let reporter = Reporter::new(own, beside, known, engine, Arc::default(), socket);
         let listening = tokio::spawn(Arc::new(reporter).listen());
@@ -90,8 +91,8 @@
         send(&self.hinting, self.own, &pack(&hint)).await;
     }
 
-    /// Waits until it knows the plan, while some gateways hint it.
-    async fn learn(&self, hints: &[Datagram]) {
+    /// Sends hints repeatedly until the agent knows the plan.
+    async fn hint_until_known(&self, hints: &[Datagram]) {
         while self.plans.newest().hash() != plan().hash() {
             for hint in hints {
                 self.hint(hint.clone()).await;
@@ -107,33 +108,30 @@
     }
 }
 
-/// What a gateway of another region says of the plan.
+/// A hint at the plan from a gateway of another region.
 fn far_hint(from: SocketAddr) -> Datagram {
     Datagram::Hint { from, region: "another".into(), plan_hash: plan().hash() }
 }
 
-// Symptom: requests reached an engine behind a narrow link 3 to 5 s after they
-// were sent, and began on a version whose time was over. Sequence: a link is
-// squeezed while endpoints come and go; each change of their list makes a new
-// plan, and each gateway hints the agent at it. Cause: the agent read the plan of
-// every gateway that hinted at it, so 40 copies of some 8 kB waited on its link
-// at once, with requests behind them. What settled it: dozens of lines
-// `reading a plan` in the same 50 ms, each a time-out of 1.5 s, while the link
-// carried 114 kB/s.
+// Guards against requests that reach an engine behind a narrow link only after 3 to 5 s and begin
+// on a version that is no longer allowed. While endpoints start and stop, each change of their
+// list makes a new plan, and every gateway hints the agent at it. If the agent reads the plan from
+// each of them, 40 copies of some 8 kB queue on its link at once (114 kB/s in the case that was
+// seen), reads time out after 1.5 s, and requests wait behind them.
 #[tokio::test]
 async fn an_agent_that_many_gateways_hint_at_a_plan_reads_it_from_few() {
     let (gateways, reads) = gateways(30).await;
     let agent = Agent::spawn(gateways[0]).await;
     let hints: Vec<_> = gateways.iter().map(|from| hint(*from, plan().hash())).collect();
-    agent.learn(&hints).await;
+    agent.hint_until_known(&hints).await;
     let most = reads.most.load(Ordering::Relaxed);
     assert!(most <= 2, "{most} copies of a plan were on their way at once");
 }
 
-// Between two regions there is one link for all traffic. Each change of the list of
-// endpoints had agents of all regions read the plan, some 8 kB each, from whichever gateway
-// hinted first: the store's news reach gateways of its region first, and hints cross the link
-// as fast as news.
+// One link carries all traffic between two regions. Guards against agents of all regions reading
+// the plan over it, some 8 kB each, at every change of the list of endpoints: the store's changes
+// reach the gateways of its own region first, and their hints cross the link as fast as the
+// changes do, so the first hint often comes from another region.
 #[tokio::test]
 async fn an_agent_reads_a_plan_from_its_own_region_also_if_others_hint_first() {
     let (near, near_reads) = gateways(1).await;
@@ -143,17 +141,17 @@
         agent.hint(far_hint(*from)).await;
     }
     sleep(Duration::from_millis(10)).await;
-    agent.learn(&[hint(near[0], plan().hash())]).await;
-    sleep(TAKES * 2).await;
+    agent.hint_until_known(&[hint(near[0], plan().hash())]).await;
+    sleep(READ_TIME * 2).await;
     assert_eq!(far_reads.all.load(Ordering::Relaxed), 0, "read from another region");
     assert_eq!(near_reads.all.load(Ordering::Relaxed), 1);
 }
 
 #[tokio::test]
-async fn an_agent_reads_a_plan_from_another_region_where_its_own_says_nothing() {
+async fn an_agent_reads_a_plan_from_another_region_if_its_own_sends_no_hint() {
     let (far, reads) = gateways(2).await;
     let agent = Agent::spawn(far[0]).await;
     let hints: Vec<_> = far.iter().map(|from| far_hint(*from)).collect();
-    agent.learn(&hints).await;
+    agent.hint_until_known(&hints).await;
     assert!(reads.all.load(Ordering::Relaxed) >= 1);
 }
--- a/tests/testsuite/origin_outage.rs
+++ b/tests/testsuite/origin_outage.rs
@@ -1,6 +1,6 @@
 //! Simulated transfers across a service during an outage of the origin.
 //!
-//! Guards against the reserve drawing chunks that the assigned agents are already drawing.
+//! Guards against the reserve fetching chunks that the assigned agents are already fetching.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -69,7 +69,7 @@
     // Pending requests to the origin, as agent and chunk.
     origin_queue: VecDeque<(usize, usize)>,
     next_origin_delivery: Duration,
-    origin_draws: usize,
+    origin_fetches: usize,
     flights: Vec<Flight>,
 }
 
@@ -89,12 +89,12 @@
             first_online: offline,
             origin_queue: VecDeque::new(),
             next_origin_delivery: Duration::ZERO,
-            origin_draws: 0,
+            origin_fetches: 0,
             flights: Vec::new(),
         }
     }
 
-    /// Delivers a chunk to an agent and updates its peers.
+    /// Delivers a chunk to an agent and reports its holdings to the peers.
     fn deliver(&mut self, agent: usize, number: usize, now: Duration) {
         self.transfers[agent].record_chunk(number, chunk(number), now);
         self.held[agent].insert(number);
@@ -115,7 +115,7 @@
             return;
         }
         if let Some((agent, chunk)) = self.origin_queue.pop_front() {
-            self.origin_draws += 1;
+            self.origin_fetches += 1;
             self.next_origin_delivery += SPACING;
             self.deliver(agent, chunk, now);
         } else {
@@ -187,20 +187,20 @@
 }
 
 #[test]
-fn few_chunks_are_drawn_twice_after_an_outage() {
+fn few_chunks_are_fetched_twice_after_an_outage() {
     for seed in 0..3 {
         let mut simulation = Simulation::new(seed, 0);
         let elapsed = simulation.run();
         let minimum = min_transfer_time();
         let limit = minimum + Duration::from_millis(500);
         assert!(elapsed <= limit, "took {elapsed:?}, minimum {minimum:?}");
-        let draws = simulation.origin_draws;
-        assert!(draws <= CHUNKS * 10 / 9, "{draws} draws for {CHUNKS} chunks");
+        let fetches = simulation.origin_fetches;
+        assert!(fetches <= CHUNKS * 10 / 9, "{fetches} fetches for {CHUNKS} chunks");
     }
 }
 
 #[test]
-fn chunks_assigned_to_offline_agents_are_drawn_after_an_outage() {
+fn chunks_assigned_to_offline_agents_are_fetched_after_an_outage() {
     let elapsed = Simulation::new(0, AGENTS / 12).run();
     let minimum = min_transfer_time();
     assert!(elapsed <= minimum + 2 * PATIENCE, "took {elapsed:?}, minimum {minimum:?}");
--- a/tests/testsuite/silent_peer.rs
+++ b/tests/testsuite/silent_peer.rs
@@ -1,5 +1,5 @@
-//! A transfer whose connection to a peer, over which it hears what that holds, has gone
-//! silent, while new ones work.
+//! A transfer whose connection for a peer's holdings has stopped responding, while new
+//! connections to the peer work.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -30,20 +30,20 @@
 
 const CHUNKS: usize = 24;
 
-/// How long until a transfer waits for news of its peer.
-const SETTLED: Duration = Duration::from_millis(500);
+/// The time after which a transfer waits for changes of its peer's holdings.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Within how long a version whose chunks are all at a peer has to be fetched: what an old
-/// version may take, on the deployments that allow the least.
-const DRAWN: Duration = Duration::from_millis(8000);
+/// Timeout for fetching a version whose chunks are all held by a peer: the time that an outdated
+/// version may still answer in the deployments that allow the least.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(8000);
 
-/// An origin that is away.
-struct Away;
+/// An origin that is unavailable.
+struct UnavailableOrigin;
 
 #[async_trait]
-impl Origin for Away {
+impl Origin for UnavailableOrigin {
     async fn read(&self, _: Digest, _: Range<u64>) -> Result<Bytes, Error> {
-        Err(Error::Unavailable("away".into()))
+        Err(Error::Unavailable("the origin is unavailable".into()))
     }
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// A peer; what it holds is told but for the calls with such numbers, which get no answer.
+/// Starts a peer that does not answer the requests for its holdings with the given indices.
 async fn peer(cache: &Arc<Cache>, unanswered: Range<usize>) -> SocketAddr {
     let pacer = Arc::new(Pacer::new(None));
     let uploader = Uploader::new(Arc::clone(cache), pacer, 2, Duration::from_millis(400));
@@ -73,8 +73,8 @@
     let app = peers::app(Arc::new(uploader)).layer(from_fn(move |request: Request, next: Next| {
         let (calls, unanswered) = (Arc::clone(&calls), unanswered.clone());
         async move {
-            let tells = request.uri().path().starts_with("/v1/holdings/");
-            if tells && unanswered.contains(&calls.fetch_add(1, Ordering::SeqCst)) {
+            let is_holdings = request.uri().path().starts_with("/v1/holdings/");
+            if is_holdings && unanswered.contains(&calls.fetch_add(1, Ordering::SeqCst)) {
                 std::future::pending::<()>().await;
             }
             next.run(request).await
@@ -89,7 +89,7 @@
 pub(crate) fn context() -> Context {
     Context {
         cache: Arc::new(Cache::new(size::Bytes::new(1 << 20))),
-        origin: Arc::new(Away),
+        origin: Arc::new(UnavailableOrigin),
         client: Client::new(),
         pacer: Arc::new(Pacer::new(None)),
         policy: Policy::default(),
@@ -106,8 +106,8 @@
     }
 }
 
-/// How long it takes to draw what a peer comes to hold meanwhile.
-async fn draws(unanswered: Range<usize>) -> Duration {
+/// Returns how long it takes to fetch chunks that a peer receives while the transfer runs.
+async fn fetch_time(unanswered: Range<usize>) -> Duration {
     let (cache, manifest) = (Arc::new(Cache::new(size::Bytes::new(1 << 20))), manifest());
     cache.add_version(&manifest);
     cache.insert(Algorithm::Sha256.chunk(&chunk(0)), chunk(0));
@@ -116,26 +116,26 @@
     let members = Members { own, peers: vec![member("e1", address)], origin_weight: 0.5 };
     let (_sender, members) = watch::channel(members);
     let began = Instant::now();
-    let drawing = tokio::spawn(collect(Arc::new(context()), manifest, members));
-    sleep(SETTLED).await;
+    let transfer = tokio::spawn(collect(Arc::new(context()), manifest, members));
+    sleep(SETTLE_TIME).await;
     (1..CHUNKS)
         .for_each(|number| cache.insert(Algorithm::Sha256.chunk(&chunk(number)), chunk(number)));
-    let fetched = timeout(DRAWN, drawing).await;
+    let fetched = timeout(FETCH_TIMEOUT, transfer).await;
     assert!(fetched.is_ok(), "not fetched after {:?}", began.elapsed());
     began.elapsed()
 }
 
 #[tokio::test]
-async fn what_a_peer_comes_to_hold_is_drawn() {
-    assert!(draws(0..0).await < Duration::from_secs(3));
+async fn chunks_that_a_peer_receives_are_fetched() {
+    assert!(fetch_time(0..0).await < Duration::from_secs(3));
 }
 
 #[tokio::test]
-async fn what_a_peer_comes_to_hold_is_drawn_though_the_connection_to_it_went_silent() {
-    draws(1..2).await;
+async fn chunks_that_a_peer_receives_are_fetched_after_its_connection_stopped_responding() {
+    fetch_time(1..2).await;
 }
 
 #[tokio::test]
-async fn what_a_peer_holds_is_drawn_though_the_connection_to_it_was_silent_at_first() {
-    draws(0..1).await;
+async fn chunks_of_a_peer_are_fetched_although_its_first_connection_never_responded() {
+    fetch_time(0..1).await;
 }
--- a/tests/testsuite/staging.rs
+++ b/tests/testsuite/staging.rs
@@ -1,5 +1,5 @@
-//! Agents that bring versions into model engines, against engines, an origin and
-//! a gateway that are small fakes.
+//! Agents that install versions in model engines, with fake engines, a fake origin and a fake
+//! gateway.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,8 +29,8 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::{sleep, timeout};
 
-/// More than any of these tests needs on a busy machine.
-const LONG: Duration = Duration::from_secs(60);
+/// A timeout that suffices for all these tests, also on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 const CHUNKS: usize = 8;
 
@@ -47,31 +47,33 @@
     Listing { chunk_bytes: 64, digests: digests.map(|digest| *digest.as_bytes()).collect() }
 }
 
-/// An origin that gives so many listings, the first ones of them spoilt.
-struct Few {
+/// An origin that serves a limited number of listings, the first ones corrupt.
+struct LimitedOrigin {
+    // How many listings it still serves.
     listings: AtomicUsize,
-    spoilt: AtomicUsize,
+    // How many of the next listings are corrupt.
+    corrupt: AtomicUsize,
 }
 
-impl Few {
-    fn new(listings: usize, spoilt: usize) -> Arc<Self> {
-        Arc::new(Self { listings: listings.into(), spoilt: spoilt.into() })
+impl LimitedOrigin {
+    fn new(listings: usize, corrupt: usize) -> Arc<Self> {
+        Arc::new(Self { listings: listings.into(), corrupt: corrupt.into() })
     }
 }
 
-/// Takes one of what is left; false when nothing is.
-fn take(left: &AtomicUsize) -> bool {
-    left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1)).is_ok()
+/// Decrements a counter; false if it is zero.
+fn decrement(count: &AtomicUsize) -> bool {
+    count.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |count| count.checked_sub(1)).is_ok()
 }
 
 #[async_trait]
-impl Origin for Few {
+impl Origin for LimitedOrigin {
     async fn listing(&self, _: &Model, version: Version) -> Result<Listing, Error> {
-        if !take(&self.listings) {
+        if !decrement(&self.listings) {
             return Err(Error::Unavailable("the connection was reset".into()));
         }
         let mut listing = listing(version);
-        if take(&self.spoilt) {
+        if decrement(&self.corrupt) {
             listing.digests[1][0] ^= 1;
         }
         Ok(listing)
@@ -82,15 +84,15 @@
     }
 }
 
-/// An engine that holds no layers at first and takes over at once what is staged.
+/// An engine that has no model loaded at first and loads staged chunks at once.
 #[derive(Default)]
-pub(crate) struct Empty {
+pub(crate) struct FakeEngine {
     staged: Mutex<BTreeMap<usize, Bytes>>,
     runs: Mutex<Option<Version>>,
 }
 
 #[async_trait]
-impl Engine for Empty {
+impl Engine for FakeEngine {
     async fn report(&self) -> Result<EngineReport, Error> {
         let models = self.runs.lock().unwrap().map(|version| (model(), version));
         Ok(EngineReport { models: models.into_iter().collect(), ..EngineReport::default() })
@@ -105,7 +107,7 @@
     ) -> Result<OrderOutcome, Error> {
         let staged = self.staged.lock().unwrap();
         let whole = (0..CHUNKS).all(|number| staged.get(&number) == Some(&chunk(version, number)));
-        assert!(whole, "an engine takes over what is not whole");
+        assert!(whole, "an engine loads an incomplete version");
         *self.runs.lock().unwrap() = Some(version);
         Ok(OrderOutcome::Accepted)
     }
@@ -120,12 +122,12 @@
     }
 }
 
-/// What a gateway of the agents' region says of a plan.
+/// A hint at a plan from a gateway of the agents' region.
 pub(crate) fn hint(from: SocketAddr, plan: u64) -> Datagram {
     Datagram::Hint { from, region: "r".into(), plan_hash: plan }
 }
 
-/// A gateway that hints every agent at the same plan.
+/// Starts a gateway that hints every agent at the same plan.
 async fn gateway(own: SocketAddr, plan: Plan) {
     gateway_with_shared_plan(own, Arc::new(Mutex::new(plan))).await;
 }
@@ -167,8 +169,8 @@
     .unwrap()
 }
 
-/// So many agents in two zones, whose gateway names the second version.
-async fn start(agents: usize, origin: &Arc<Few>) -> (Vec<Arc<Empty>>, Vec<Agent>) {
+/// Starts agents in two availability zones and a gateway whose plan names the second version.
+async fn start(agents: usize, origin: &Arc<LimitedOrigin>) -> (Vec<Arc<FakeEngine>>, Vec<Agent>) {
     let zone = |number: usize| if number.is_multiple_of(2) { "a" } else { "b" };
     let addresses: Vec<_> = (0..agents).map(|_| address::free().unwrap()).collect();
     let peer = |(number, engine): (usize, &SocketAddr)| Peer {
@@ -189,11 +191,11 @@
     gateway(seed, plan).await;
     let (mut engines, mut started) = (Vec::new(), Vec::new());
     for (number, address) in addresses.into_iter().enumerate() {
-        let engine = Arc::new(Empty::default());
+        let engine = Arc::new(FakeEngine::default());
         let origin = Arc::clone(origin);
         let parts = Parts {
-            engine: Arc::<Empty>::clone(&engine),
-            open_origin: Arc::new(move |_| Arc::<Few>::clone(&origin)),
+            engine: Arc::<FakeEngine>::clone(&engine),
+            open_origin: Arc::new(move |_| Arc::<LimitedOrigin>::clone(&origin)),
             client: Client::new(),
             metrics: None,
         };
@@ -205,24 +207,24 @@
 }
 
 /// Waits until all engines run the second version.
-async fn all_run(engines: &[Arc<Empty>]) {
-    let run = |engine: &Arc<Empty>| *engine.runs.lock().unwrap() == Some(Version(2));
+async fn all_run(engines: &[Arc<FakeEngine>]) {
+    let run = |engine: &Arc<FakeEngine>| *engine.runs.lock().unwrap() == Some(Version(2));
     while !engines.iter().all(run) {
         sleep(Duration::from_millis(20)).await;
     }
 }
 
 #[tokio::test]
-async fn an_origin_that_gives_few_listings_is_enough_for_all_agents() {
-    // One for each zone, and some more in case that an agent asks out of its turn.
-    let (engines, _agents) = start(16, &Few::new(6, 0)).await;
-    timeout(LONG, all_run(&engines)).await.expect("agents were left without a listing");
+async fn an_origin_that_serves_few_listings_suffices_for_all_agents() {
+    // One for each zone, and some more in case an agent requests one ahead of the planned order.
+    let (engines, _agents) = start(16, &LimitedOrigin::new(6, 0)).await;
+    timeout(TIMEOUT, all_run(&engines)).await.expect("agents were left without a listing");
 }
 
 #[tokio::test]
-async fn a_listing_that_came_spoilt_is_read_again() {
-    let (engines, _agents) = start(4, &Few::new(usize::MAX, 2)).await;
-    timeout(LONG, all_run(&engines)).await.expect("agents wait for chunks that do not exist");
+async fn a_corrupt_listing_is_fetched_again() {
+    let (engines, _agents) = start(4, &LimitedOrigin::new(usize::MAX, 2)).await;
+    timeout(TIMEOUT, all_run(&engines)).await.expect("agents wait for chunks that do not exist");
 }
 
 /// An origin that lacks half of the second version's chunks, and serves listings until it is down.
@@ -248,11 +250,11 @@
     }
 }
 
-/// The delay before the third version is named, and again before the origin goes down. Shorter
-/// than the time an agent waits for the missing chunks of the second version.
+/// The delay before the third version is set to roll out, and again before the origin goes down.
+/// Shorter than the time an agent waits for the missing chunks of the second version.
 const STEP_DELAY: Duration = Duration::from_millis(1500);
 
-// Guards against fetching a listing only after the previous version has been given up.
+// Guards against fetching a listing only after the previous version has been abandoned.
 #[tokio::test]
 async fn a_listing_is_fetched_while_the_previous_version_is_incomplete() {
     let origin = Arc::new(PartialOrigin::default());
@@ -268,10 +270,10 @@
         ..Plan::default()
     }));
     gateway_with_shared_plan(seed, Arc::clone(&plan)).await;
-    let engine = Arc::new(Empty::default());
+    let engine = Arc::new(FakeEngine::default());
     let shared_origin = Arc::clone(&origin);
     let parts = Parts {
-        engine: Arc::<Empty>::clone(&engine),
+        engine: Arc::<FakeEngine>::clone(&engine),
         open_origin: Arc::new(move |_| Arc::<PartialOrigin>::clone(&shared_origin)),
         client: Client::new(),
         metrics: None,
@@ -292,8 +294,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_no_gateway_has_answered_since_it_started_says_so() {
-    // Its instance may lie behind a full link since before it started.
+async fn an_agent_without_contact_since_its_start_reports_the_time_since_then() {
+    // The instance's link may have been congested since before the agent started.
     let gateway = UdpSocket::bind((address::free().unwrap().ip(), shared_port())).await.unwrap();
     let seed = gateway.local_addr().unwrap();
     let settings = settings("127.0.0.1:9".parse().unwrap(), "a", seed);
@@ -301,59 +303,59 @@
     let socket = UdpSocket::bind((seed.ip(), 0)).await.unwrap();
     let (own, beside) = (socket.local_addr().unwrap(), settings.beside.as_ref().unwrap());
     let reporter =
-        Reporter::new(own, beside, plans, Arc::new(Empty::default()), Arc::default(), socket);
+        Reporter::new(own, beside, plans, Arc::new(FakeEngine::default()), Arc::default(), socket);
     tokio::time::advance(Duration::from_secs(2)).await;
     reporter.poll_engine().await;
     let Datagram::Report { report, .. } = receive(&gateway, &mut buffer()).await else {
-        panic!("no report came");
+        panic!("no report was received");
     };
     assert!(report.last_contact_age >= Duration::from_secs(2), "{:?}", report.last_contact_age);
 }
 
-// The next gateway that asks must not take the same place; one that has decided holds none.
+// Another gateway's query must see the reservation; a gateway that has decided holds none.
 #[tokio::test]
-async fn an_agent_that_is_asked_keeps_a_place_until_the_gateway_has_decided() {
+async fn a_queried_agent_keeps_a_reservation_until_the_gateway_has_decided() {
     let gateways = [(); 2].map(|()| address::free().unwrap().ip());
-    let mut ears = Vec::new();
+    let mut sockets = Vec::new();
     for gateway in gateways {
-        ears.push(UdpSocket::bind((gateway, shared_port())).await.unwrap());
+        sockets.push(UdpSocket::bind((gateway, shared_port())).await.unwrap());
     }
-    let settings = settings("127.0.0.1:9".parse().unwrap(), "a", ears[0].local_addr().unwrap());
+    let settings = settings("127.0.0.1:9".parse().unwrap(), "a", sockets[0].local_addr().unwrap());
     let plans = Arc::new(Plans::new(&settings, "svc".into(), Client::new()));
     let socket = UdpSocket::bind((gateways[0], 0)).await.unwrap();
     let (own, beside) = (socket.local_addr().unwrap(), settings.beside.as_ref().unwrap());
-    let engine = Arc::new(Empty::default());
+    let engine = Arc::new(FakeEngine::default());
     let reporter = Arc::new(Reporter::new(own, beside, plans, engine, Arc::default(), socket));
     reporter.poll_engine().await;
     let listening = tokio::spawn(Arc::clone(&reporter).listen());
-    let asks = async |ear: &UdpSocket, number: u64| {
-        let (from, asked) = (ear.local_addr().unwrap(), Duration::from_millis(number));
-        let ask = Datagram::Query { from, number, sent_at: asked, prompt_tokens: 700 };
-        ear.send_to(&pack(&ask), own).await.unwrap();
+    let query = async |gateway: &UdpSocket, number: u64| {
+        let (from, sent_at) = (gateway.local_addr().unwrap(), Duration::from_millis(number));
+        let query = Datagram::Query { from, number, sent_at, prompt_tokens: 700 };
+        gateway.send_to(&pack(&query), own).await.unwrap();
         loop {
-            let told = timeout(LONG, receive(ear, &mut buffer())).await.unwrap();
-            if let Datagram::Report { report, query: answers, .. } = told
-                && answers == Some(number)
+            let datagram = timeout(TIMEOUT, receive(gateway, &mut buffer())).await.unwrap();
+            if let Datagram::Report { report, query: answered, .. } = datagram
+                && answered == Some(number)
             {
                 return report.others;
             }
         }
     };
-    assert!(asks(&ears[0], 1).await.is_empty());
-    let other = asks(&ears[1], 2).await;
-    assert_eq!((other.requests, other.unread), (1, 700), "the first one's place");
-    let (from, sent) = (ears[1].local_addr().unwrap(), Duration::from_millis(9));
+    assert!(query(&sockets[0], 1).await.is_empty());
+    let other = query(&sockets[1], 2).await;
+    assert_eq!((other.requests, other.unread), (1, 700), "the first one's reservation");
+    let (from, sent_at) = (sockets[1].local_addr().unwrap(), Duration::from_millis(9));
     let outstanding = Default::default();
-    let decided = Datagram::Outstanding { from, outstanding, sent_at: sent, decided_before: sent };
-    ears[1].send_to(&pack(&decided), own).await.unwrap();
-    // Its datagrams may overtake each other, and places lapse soon.
-    let ends = async { while !asks(&ears[0], 3).await.is_empty() {} };
-    timeout(LONG, ends).await.expect("the second one's place is given back");
+    let decided = Datagram::Outstanding { from, outstanding, sent_at, decided_before: sent_at };
+    sockets[1].send_to(&pack(&decided), own).await.unwrap();
+    // Datagrams may overtake each other, and reservations expire soon.
+    let released = async { while !query(&sockets[0], 3).await.is_empty() {} };
+    timeout(TIMEOUT, released).await.expect("the second one's reservation is released");
     listening.abort();
 }
 
 #[tokio::test]
-async fn an_agent_tells_a_gateway_that_it_asks_for_how_long_versions_have_been_named() {
+async fn a_report_that_requests_an_echo_contains_the_ages_of_versions() {
     let gateway = address::free().unwrap();
     let mut rollout = Rollout::default();
     rollout.advance(model(), Version(2));
@@ -364,35 +366,38 @@
     let app = Router::new().route("/v1/plan", get(async move || pack(&plan)));
     let listener = TcpListener::bind(gateway).await.unwrap();
     tokio::spawn(async move { axum::serve(listener, app).await.unwrap() });
-    let ear = UdpSocket::bind((gateway.ip(), shared_port())).await.unwrap();
-    let settings = settings("127.0.0.1:9".parse().unwrap(), "a", ear.local_addr().unwrap());
+    let socket_of_gateway = UdpSocket::bind((gateway.ip(), shared_port())).await.unwrap();
+    let settings =
+        settings("127.0.0.1:9".parse().unwrap(), "a", socket_of_gateway.local_addr().unwrap());
     let plans = Arc::new(Plans::new(&settings, "svc".into(), Client::new()));
     plans.fetch(gateway).await.unwrap();
     let socket = UdpSocket::bind((gateway.ip(), 0)).await.unwrap();
     let (own, beside) = (socket.local_addr().unwrap(), settings.beside.as_ref().unwrap());
     let reporter =
-        Reporter::new(own, beside, plans, Arc::new(Empty::default()), Arc::default(), socket);
+        Reporter::new(own, beside, plans, Arc::new(FakeEngine::default()), Arc::default(), socket);
     reporter.poll_engine().await;
-    let Datagram::Report { ages, echo: true, .. } = receive(&ear, &mut buffer()).await else {
-        panic!("no report came that asks for an echo");
+    let Datagram::Report { ages, echo: true, .. } =
+        receive(&socket_of_gateway, &mut buffer()).await
+    else {
+        panic!("no report requests an echo");
     };
-    let mut learned = Timeline::default();
-    learned.merge(&ages, Duration::ZERO);
-    let left = |overlap| {
-        learned.remaining(&model(), Version(1), Duration::from_secs(overlap), Duration::ZERO)
+    let mut received = Timeline::default();
+    received.merge(&ages, Duration::ZERO);
+    let remaining = |overlap| {
+        received.remaining(&model(), Version(1), Duration::from_secs(overlap), Duration::ZERO)
     };
-    assert_eq!(left(60), Some(Duration::ZERO));
-    assert!(left(120) > Some(Duration::ZERO), "it is known to have been seen");
+    assert_eq!(remaining(60), Some(Duration::ZERO));
+    assert!(remaining(120) > Some(Duration::ZERO), "the version is known to have been seen");
 }
 
 #[tokio::test]
-async fn an_agent_goes_by_seeds_that_come_while_it_runs() {
-    let [engine, nobody, gateway] = [(); 3].map(|()| address::free().unwrap());
-    let ear = UdpSocket::bind((gateway.ip(), shared_port())).await.unwrap();
-    let before = settings(engine, "a", nobody);
+async fn an_agent_uses_the_seeds_of_reloaded_settings() {
+    let [engine, unused, gateway] = [(); 3].map(|()| address::free().unwrap());
+    let socket_of_gateway = UdpSocket::bind((gateway.ip(), shared_port())).await.unwrap();
+    let before = settings(engine, "a", unused);
     let parts = Parts {
-        engine: Arc::new(Empty::default()),
-        open_origin: Arc::new(|_| Few::new(0, 0)),
+        engine: Arc::new(FakeEngine::default()),
+        open_origin: Arc::new(|_| LimitedOrigin::new(0, 0)),
         client: Client::new(),
         metrics: None,
     };
@@ -400,6 +405,6 @@
     let mut after = before.clone();
     after.seeds = vec![gateway];
     agent.reload(&after);
-    let heard = timeout(LONG, receive(&ear, &mut buffer())).await.unwrap();
-    assert!(matches!(heard, Datagram::Report { .. }), "{heard:?}");
+    let datagram = timeout(TIMEOUT, receive(&socket_of_gateway, &mut buffer())).await.unwrap();
+    assert!(matches!(datagram, Datagram::Report { .. }), "{datagram:?}");
 }
