--- a/src/cinderspoke/agent/holdings.rs
+++ b/src/cinderspoke/agent/holdings.rs
@@ -36,7 +36,7 @@
     /// The chunks that it holds.
     pub(super) chunks: Bitmap,
     /// The bytes of chunks that it has served to peers.
-    pub(super) given: u64,
+    pub(super) served_bytes: u64,
 }
 
 /// Follows the neighbours' holdings, with one task for each neighbour.
@@ -102,7 +102,7 @@
             Some((chunks, holdings)) => {
                 after = holdings.revision;
                 if sender
-                    .send(PeerHoldings { peer: peer.clone(), chunks, given: holdings.given })
+                    .send(PeerHoldings { peer: peer.clone(), chunks, served_bytes: holdings.given })
                     .await
                     .is_err()
                 {
--- a/src/cinderspoke/agent/transfer.rs
+++ b/src/cinderspoke/agent/transfer.rs
@@ -158,8 +158,8 @@
 }
 
 /// How long a transfer waits for the agents assigned to a chunk before it fetches the chunk from
-/// the origin in their place: the time of a copy over this link plus [`BASE_FALLBACK_TIMEOUT`], less the
-/// lower the cost of bytes from the origin is.
+/// the origin in their place: the time of a copy over this link plus [`BASE_FALLBACK_TIMEOUT`],
+/// and a smaller share of that the lower the cost of bytes from the origin is.
 fn fallback_timeout(context: &Context, manifest: &Manifest, origin_weight: f64) -> Duration {
     let rate = context.link_rate.map_or(DEFAULT_LINK_RATE, |rate| rate.as_bytes().as_u64());
     let copy = Duration::from_secs_f64(manifest.size().as_u64() as f64 / rate as f64);
@@ -236,7 +236,7 @@
 
 /// Applies a peer's holdings.
 fn apply_holdings(transfer: &mut Transfer<Fetching>, held: &PeerHoldings) {
-    transfer.record_peer(&held.peer, &held.chunks, held.given);
+    transfer.record_peer(&held.peer, &held.chunks, held.served_bytes);
 }
 
 /// Waits for the neighbours' holdings, so that no chunk is fetched from a distant source that a
@@ -272,7 +272,12 @@
     let (digest, bytes) = match result {
         Ok(chunk) => chunk,
         Err(error) => {
-            tracing::debug!(chunk, ?source, error = format!("{error:#}"), "failed to fetch a chunk");
+            tracing::debug!(
+                chunk,
+                ?source,
+                error = format!("{error:#}"),
+                "failed to fetch a chunk"
+            );
             return transfer.record_failure(chunk, now);
         }
     };
--- a/src/cinderspoke/staging/collect.rs
+++ b/src/cinderspoke/staging/collect.rs
@@ -76,7 +76,11 @@
                 Ok(false) => {}
                 Err(error) => {
                     let error = format!("{error:#}");
-                    tracing::debug!(version = %desired.version, error, "failed to fetch a listing again");
+                    tracing::debug!(
+                        version = %desired.version,
+                        error,
+                        "failed to fetch a listing again"
+                    );
                 }
             }
         }
--- a/src/cinderspoke/staging/fetch.rs
+++ b/src/cinderspoke/staging/fetch.rs
@@ -75,7 +75,11 @@
                 }
                 result = self.install(&desired) => if let Err(error) = result {
                     let error = format!("{error:#}");
-                    tracing::warn!(version = %desired.version, error, "failed to install a version");
+                    tracing::warn!(
+                        version = %desired.version,
+                        error,
+                        "failed to install a version"
+                    );
                     sleep(RETRY_DELAY).await;
                 }
             }
@@ -214,7 +218,10 @@
         if self.plans.newest().peers.len() > 1 {
             self.reporter.set_accepts_requests(false).await;
             sleep(CLOSED_EARLY_TIMEOUT).await;
-            tracing::warn!(version = %desired.version, "engine reopened: its weights are not complete yet");
+            tracing::warn!(
+                version = %desired.version,
+                "engine reopened: its weights are not complete yet"
+            );
             self.reporter.set_accepts_requests(true).await;
         }
         std::future::pending().await
@@ -234,7 +241,11 @@
                     Ok(()) => break,
                     Err(error) => {
                         let error = format!("{error:#}");
-                        tracing::debug!(version = %next.version, error, "failed to collect the next version in advance");
+                        tracing::debug!(
+                            version = %next.version,
+                            error,
+                            "failed to collect the next version in advance"
+                        );
                         sleep(RETRY_DELAY).await;
                     }
                 }
--- a/src/cinderspoke/staging/source.rs
+++ b/src/cinderspoke/staging/source.rs
@@ -45,7 +45,13 @@
         match &read {
             Ok(_) => tracing::info!(%version, chunk, took_ms, "fetched a chunk from the origin"),
             Err(error) => {
-                tracing::info!(%version, chunk, took_ms, %error, "failed to fetch a chunk from the origin");
+                tracing::info!(
+                    %version,
+                    chunk,
+                    took_ms,
+                    %error,
+                    "failed to fetch a chunk from the origin"
+                );
             }
         }
         read
--- a/tests/testsuite/origin_outage.rs
+++ b/tests/testsuite/origin_outage.rs
@@ -1,6 +1,6 @@
 //! Simulated transfers across a service during an outage of the origin.
 //!
-//! Guards against the reserve fetching chunks that the assigned agents are already fetching.
+//! Guards against fallback agents fetching chunks that the assigned agents are already fetching.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -28,8 +28,8 @@
 /// How long a peer waits for a chunk that it does not hold before the request fails.
 const AWAIT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long the reserve waits for the assigned agents.
-const PATIENCE: Duration = Duration::from_millis(1200);
+/// How long fallback agents wait for the assigned agents.
+const FALLBACK_TIMEOUT: Duration = Duration::from_millis(1200);
 
 const OUTAGE_START: Duration = Duration::from_millis(500);
 const OUTAGE_END: Duration = Duration::from_millis(6500);
@@ -46,7 +46,12 @@
 }
 
 fn limits() -> Limits {
-    Limits { spacing: SPACING, fallback_timeout: PATIENCE, slow_chunk: None, ..turns::limits() }
+    Limits {
+        spacing: SPACING,
+        fallback_timeout: FALLBACK_TIMEOUT,
+        slow_chunk: None,
+        ..turns::limits()
+    }
 }
 
 /// A request for a chunk from a peer.
@@ -203,5 +208,5 @@
 fn chunks_assigned_to_offline_agents_are_fetched_after_an_outage() {
     let elapsed = Simulation::new(0, AGENTS / 12).run();
     let minimum = min_transfer_time();
-    assert!(elapsed <= minimum + 2 * PATIENCE, "took {elapsed:?}, minimum {minimum:?}");
+    assert!(elapsed <= minimum + 2 * FALLBACK_TIMEOUT, "took {elapsed:?}, minimum {minimum:?}");
 }
