--- a/crates/core/src/gateway/directory.rs
+++ b/crates/core/src/gateway/directory.rs
@@ -206,7 +206,7 @@
             return false;
         }
         let listed = self.without_ended(listed);
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .directory
             .entries
             .keys()
@@ -215,11 +215,11 @@
             .collect();
         self.displaced.retain(|name, _| listed.entries.contains_key(name));
         let known: BTreeSet<_> = self.directory.entries.keys().cloned().collect();
-        let gone = gone.into_iter().map(|name| match listed.unusable.contains(&name) {
+        let removed = removed.into_iter().map(|name| match listed.unusable.contains(&name) {
             true => Change::Unusable(name),
             false => Change::Removed(name),
         });
-        let mut changed = self.apply(revision, gone, now);
+        let mut changed = self.apply(revision, removed, now);
         let own_retained = self.retained.clone();
         self.directory.unusable = listed.unusable;
         for (name, entry) in listed.entries {
@@ -331,16 +331,16 @@
         let had = |(other, known): &(&Endpoint, &Entry)| {
             *other != name && known.address == entry.address && may_be_older(other)
         };
-        let gone: BTreeMap<_, _> = entries
+        let replaced: BTreeMap<_, _> = entries
             .iter()
             .filter(had)
             .map(|(other, known)| (other.clone(), known.clone()))
             .collect();
-        entries.retain(|other, _| !gone.contains_key(other));
-        self.retained.retain(|other, _| !gone.contains_key(other));
+        entries.retain(|other, _| !replaced.contains_key(other));
+        self.retained.retain(|other, _| !replaced.contains_key(other));
         self.displaced.remove(name);
-        let any = !gone.is_empty();
-        self.displaced.extend(gone);
+        let any = !replaced.is_empty();
+        self.displaced.extend(replaced);
         any
     }
 
--- a/crates/core/src/gateway/load.rs
+++ b/crates/core/src/gateway/load.rs
@@ -326,14 +326,14 @@
     let pass = if running >= 1.0 { f64::from(engine.stride.max(1)) * step } else { step };
     let passes = if running >= 1.0 { WAITED_PASSES / (1.0 - prefill_fraction) } else { 1.0 };
     let wait = unread * per_token + passes * pass + excess * service_time;
-    let at_pace = |ms: f64| {
+    let slowed = |ms: f64| {
         Duration::from_secs_f64(
             (ms * estimate.slowdown.max(1.0)).clamp(0.0, MAX_FORECAST_MS) / 1000.0,
         )
     };
     Forecast {
-        wait: at_pace(wait),
-        prefill: at_pace(prefill_ms(engine, size.prompt)),
-        usual_prefill: at_pace(prefill_ms(engine, engine.usual_prompt)),
+        wait: slowed(wait),
+        prefill: slowed(prefill_ms(engine, size.prompt)),
+        usual_prefill: slowed(prefill_ms(engine, engine.usual_prompt)),
     }
 }
--- a/crates/core/src/gateway/notice.rs
+++ b/crates/core/src/gateway/notice.rs
@@ -89,7 +89,7 @@
         self.draining.contains_key(&run)
     }
 
-    /// Returns until when a run wants no requests, or zero if it gave no such notice.
+    /// Returns the end of the back-off that a run asked for, or zero if it asked for none.
     #[must_use]
     pub fn backoff_until(&self, run: Run) -> Duration {
         self.backoffs.get(&run).copied().unwrap_or_default()
--- a/crates/core/src/gateway/overlap.rs
+++ b/crates/core/src/gateway/overlap.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 /// Margin before the bound for endpoints whose link may delay requests. Covers the longest wait
-/// behind chunks on such a link and the wait for a turn in the engine.
-const NARROW_MARGIN: Duration = Duration::from_millis(3200);
+/// behind chunks on such a link and the queueing time in the engine.
+const CONGESTED_MARGIN: Duration = Duration::from_millis(3200);
 
-/// Margin before the bound for endpoints with no sign of a narrow link. Covers the wait for a
-/// turn in an engine that is slower than expected.
+/// Margin before the bound for endpoints with no sign of a congested link. Covers the queueing
+/// time in an engine that is slower than expected.
 const CLEAR_MARGIN: Duration = Duration::from_millis(1600);
 
-/// Largest fraction of the bound that the margin for a narrow link may take.
-const NARROW_MAX_FRACTION: f64 = 0.4;
+/// Largest fraction of the bound that the margin for a congested link may take.
+const CONGESTED_MAX_FRACTION: f64 = 0.4;
 
 /// Largest fraction of the bound that the margin for a clear link may take.
 const CLEAR_MAX_FRACTION: f64 = 0.2;
@@ -37,7 +37,7 @@
         let less_margin =
             |margin: Duration, max_fraction: f64| bound - margin.min(bound.mul_f64(max_fraction));
         Self {
-            narrow: less_margin(NARROW_MARGIN, NARROW_MAX_FRACTION),
+            narrow: less_margin(CONGESTED_MARGIN, CONGESTED_MAX_FRACTION),
             clear: less_margin(CLEAR_MARGIN, CLEAR_MAX_FRACTION),
         }
     }
--- a/crates/core/src/gateway/region.rs
+++ b/crates/core/src/gateway/region.rs
@@ -257,7 +257,7 @@
     }
 
     /// Returns the next step of a gateway that has version `has` and has known of a newer one for
-    /// `behind`. `draw` is uniformly distributed between 0 and 1.
+    /// `behind`. `random` is uniformly distributed between 0 and 1.
     #[must_use]
     pub fn next_step(
         &self,
@@ -265,12 +265,12 @@
         behind: Duration,
         role: Role,
         now: Duration,
-        draw: f64,
+        random: f64,
     ) -> Step {
-        if let Some(near) = self.newest_peer(has, true, draw) {
+        if let Some(near) = self.newest_peer(has, true, random) {
             return Step::FetchNear(near);
         }
-        let Some(far) = self.newest_peer(has, false, draw) else {
+        let Some(far) = self.newest_peer(has, false, random) else {
             return Step::Idle;
         };
         let delay = match role {
@@ -292,11 +292,11 @@
 
     /// Returns one of the gateways that have the newest version inside or outside of the region, if
     /// that version is newer than `has`.
-    fn newest_peer(&self, has: u64, near: bool, draw: f64) -> Option<SocketAddr> {
+    fn newest_peer(&self, has: u64, near: bool, random: f64) -> Option<SocketAddr> {
         let peers = || self.peers.iter().filter(|(_, peer)| self.is_near(peer) == near);
         let newest = peers().map(|(_, peer)| peer.version).max().filter(|newest| *newest > has)?;
         let holders: Vec<_> = peers().filter(|(_, peer)| peer.version == newest).collect();
-        let number = (draw * holders.len() as f64) as usize;
+        let number = (random * holders.len() as f64) as usize;
         holders.get(number.min(holders.len() - 1)).map(|(gateway, _)| **gateway)
     }
 
--- a/crates/core/src/gateway/suspect.rs
+++ b/crates/core/src/gateway/suspect.rs
@@ -89,11 +89,11 @@
 /// An end of an endpoint that had the request.
 #[derive(Debug, Clone, Copy)]
 struct End {
-    // A random number drawn by the gateway that saw it.
+    // A random number from the gateway that saw it.
     id: u64,
     cause: Cause,
     sent: Moment,
-    broke: Moment,
+    disconnected: Moment,
     // Whether this gateway saw it itself.
     own: bool,
 }
@@ -101,18 +101,19 @@
 impl End {
     /// Returns whether this is the same end, as seen by another gateway.
     fn is_same(&self, other: &Self) -> bool {
-        let apart = (self.broke.0 - other.broke.0).abs();
+        let apart = (self.disconnected.0 - other.disconnected.0).abs();
         self.id == other.id || (self.cause == other.cause && apart < SAME_END_MS)
     }
 
     /// Returns whether the request was sent to this endpoint after the other end.
     fn follows(&self, other: &Self) -> bool {
-        self.sent.0 + DELAY_MS >= other.broke.0 && self.broke.0 > other.broke.0 + DELAY_MS
+        self.sent.0 + DELAY_MS >= other.disconnected.0
+            && self.disconnected.0 > other.disconnected.0 + DELAY_MS
     }
 }
 
 /// What is known about a request.
-// Invariant: no end in `ends` came before `answered`.
+// Invariant: no end in `ends` precedes `answered`.
 #[derive(Debug, Clone, Default)]
 struct Suspect {
     ends: Vec<End>,
@@ -130,7 +131,7 @@
     }
 
     fn last_end(&self) -> Option<Moment> {
-        self.ends.iter().map(|end| end.broke).max()
+        self.ends.iter().map(|end| end.disconnected).max()
     }
 
     /// Returns for how long at least it is quarantined after the last end, see [`Table::admit`].
@@ -146,7 +147,7 @@
 
     /// Records an end. Returns whether it was unknown.
     fn record_end(&mut self, end: End) -> bool {
-        let is_old = self.answered.is_some_and(|answered| end.broke <= answered);
+        let is_old = self.answered.is_some_and(|answered| end.disconnected <= answered);
         if is_old || self.ends.iter().any(|known| known.is_same(&end)) {
             return false;
         }
@@ -154,7 +155,7 @@
         if self.ends.len() <= MAX_ENDS {
             return true;
         }
-        self.ends.sort_by_key(|end| (end.cause == Cause::Probe, end.broke));
+        self.ends.sort_by_key(|end| (end.cause == Cause::Probe, end.disconnected));
         // An end that is dropped at once counts as known, or gateways would forward it for ever.
         self.ends.remove(0).id != end.id
     }
@@ -162,7 +163,7 @@
     /// Records an answer. Returns whether it clears the suspect of an end.
     fn record_answer(&mut self, at: Moment) -> bool {
         let before = self.ends.len();
-        self.ends.retain(|end| end.broke > at);
+        self.ends.retain(|end| end.disconnected > at);
         self.answered = self.answered.max(Some(at));
         self.ends.len() < before
     }
@@ -188,7 +189,7 @@
     id: u64,
     cause: Cause,
     sent: Duration,
-    broke: Duration,
+    disconnected: Duration,
 }
 
 /// A suspect, as one gateway sends it to another; times are ages.
@@ -202,7 +203,7 @@
 /// A send whose endpoint ended before it answered.
 #[derive(Debug, Clone)]
 pub struct Crash {
-    /// A random number drawn by the gateway that saw it, which identifies the crash.
+    /// A random number from the gateway that saw it, which identifies the crash.
     pub id: u64,
     /// The endpoint.
     pub endpoint: Endpoint,
@@ -280,7 +281,7 @@
             id: crash.id,
             cause: Cause::Endpoint(Key::of(crash.endpoint.as_str()).as_u64()),
             sent: Moment::at(crash.sent),
-            broke: Moment::at(crash.disconnected),
+            disconnected: Moment::at(crash.disconnected),
             own: true,
         };
         self.expire(now);
@@ -305,10 +306,10 @@
             let key =
                 Key::of_number(fingerprint.as_u64()).with(Key::of_number(number as u64)).as_u64();
             // As if the ends had happened one after another, the last one now.
-            let broke =
+            let disconnected =
                 Moment(Moment::at(now).0 - (QUARANTINE_ENDS as i64 - 1 - number) * 2 * SAME_END_MS);
-            let sent = Moment(broke.0 - SAME_END_MS);
-            End { id: key, cause: Cause::Endpoint(key), sent, broke, own: false }
+            let sent = Moment(disconnected.0 - SAME_END_MS);
+            End { id: key, cause: Cause::Endpoint(key), sent, disconnected, own: false }
         });
         if self.suspects.get(&fingerprint).is_some_and(Suspect::is_quarantined) {
             return false;
@@ -339,8 +340,8 @@
         if passed < quarantine {
             return Admission::Quarantined(quarantine - passed);
         }
-        let (sent, broke) = (Moment::at(now), Moment::at(now));
-        suspect.record_end(End { id, cause: Cause::Probe, sent, broke, own: true });
+        let (sent, disconnected) = (Moment::at(now), Moment::at(now));
+        suspect.record_end(End { id, cause: Cause::Probe, sent, disconnected, own: true });
         Admission::Probe
     }
 
@@ -377,10 +378,12 @@
                 merged.changed |= suspect.merge_answer(Moment::ago(age, now));
             }
             for end in &update.ends {
-                let EndUpdate { id, cause, sent, broke } = *end;
-                let (sent, broke) = (Moment::ago(sent, now), Moment::ago(broke, now));
-                let change =
-                    self.record_end(update.fingerprint, End { id, cause, sent, broke, own: false });
+                let EndUpdate { id, cause, sent, disconnected } = *end;
+                let (sent, disconnected) = (Moment::ago(sent, now), Moment::ago(disconnected, now));
+                let change = self.record_end(
+                    update.fingerprint,
+                    End { id, cause, sent, disconnected, own: false },
+                );
                 merged.changed |= change != Change::None;
                 if change == Change::Quarantined {
                     merged.quarantined.push(update.fingerprint);
@@ -432,7 +435,7 @@
         id: end.id,
         cause: end.cause,
         sent: end.sent.age(now),
-        broke: end.broke.age(now),
+        disconnected: end.disconnected.age(now),
     });
     let answered = suspect.answered.map(|at| at.age(now));
     Update { fingerprint, ends: ends.collect(), answered }
--- a/crates/core/src/gateway/timeline.rs
+++ b/crates/core/src/gateway/timeline.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns the observation that leaves an older version less time.
+    /// Returns the observation that gives an older version less time.
     fn earlier_end(self, other: Self, now: Duration) -> Self {
         let overlap = Duration::MAX;
         if self.remaining(overlap, now) <= other.remaining(overlap, now) { self } else { other }
--- a/crates/core/src/gateway/watch.rs
+++ b/crates/core/src/gateway/watch.rs
@@ -34,8 +34,8 @@
 
 /// How many late calls may still be answered besides the newest one.
 ///
-/// If each call were given up after the margin, a platform that takes longer would never be
-/// heard. With two late calls, answers that take up to 4 s arrive.
+/// If each call were abandoned after the margin, no answer of a slower platform would ever
+/// arrive. With two late calls, answers that take up to 4 s arrive.
 pub const LATE_CALLS: usize = 2;
 
 /// How long a watch may still return its changes after a resync is requested.
@@ -98,15 +98,15 @@
     /// Returns how long the next call waits for changes, see [`wait`]. The wait is short after a
     /// failure, so that a working connection soon proves itself.
     #[must_use]
-    pub fn wait(&self, gateways: usize, draw: f64) -> Duration {
-        if self.degraded { MIN_WAIT } else { wait(gateways, draw) }
+    pub fn wait(&self, gateways: usize, random: f64) -> Duration {
+        if self.degraded { MIN_WAIT } else { wait(gateways, random) }
     }
 
     /// Returns how long a gateway that gets facts from others pauses before its next call, see
     /// [`poll_interval`]. The pause is short after a failure.
     #[must_use]
-    pub fn poll_interval(&self, gateways: usize, draw: f64) -> Duration {
-        if self.degraded { MIN_WAIT } else { poll_interval(gateways, draw) }
+    pub fn poll_interval(&self, gateways: usize, random: f64) -> Duration {
+        if self.degraded { MIN_WAIT } else { poll_interval(gateways, random) }
     }
 
     /// Records that a call failed that should have been answered by `due`.
@@ -163,21 +163,21 @@
 }
 
 /// Returns how long one of `gateways` that get facts from others pauses before it polls the
-/// platform. `draw` is uniformly distributed between 0 and 1.
+/// platform. `random` is uniformly distributed between 0 and 1.
 #[must_use]
-pub fn poll_interval(gateways: usize, draw: f64) -> Duration {
+pub fn poll_interval(gateways: usize, random: f64) -> Duration {
     let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
-    (POLL_INTERVAL.saturating_mul(gateways) * 2).mul_f64(draw.clamp(0.0, 1.0)).max(MIN_WAIT)
+    (POLL_INTERVAL.saturating_mul(gateways) * 2).mul_f64(random.clamp(0.0, 1.0)).max(MIN_WAIT)
 }
 
-/// Returns how long a call waits for changes if `gateways` share the calls. `draw` is uniformly
+/// Returns how long a call waits for changes if `gateways` share the calls. `random` is uniformly
 /// distributed between 0 and 1.
 ///
 /// The wait is uniformly distributed up to twice the mean: gateways that received the same change
 /// at the same moment must not all call again at the same moment.
 #[must_use]
-pub fn wait(gateways: usize, draw: f64) -> Duration {
+pub fn wait(gateways: usize, random: f64) -> Duration {
     let gateways = u32::try_from(gateways).unwrap_or(u32::MAX);
     let mean = CALL_INTERVAL.saturating_mul(gateways).min(MAX_WAIT / 2);
-    (mean * 2).mul_f64(draw.clamp(0.0, 1.0)).max(MIN_WAIT)
+    (mean * 2).mul_f64(random.clamp(0.0, 1.0)).max(MIN_WAIT)
 }
--- a/src/cinderspoke/gateway/context.rs
+++ b/src/cinderspoke/gateway/context.rs
@@ -79,8 +79,9 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let view = self.state.view();
-        let knows = view.catalog.is_some() && view.evacuations_known && !view.members.is_empty();
-        !self.is_draining() && knows
+        let has_state =
+            view.catalog.is_some() && view.evacuations_known && !view.members.is_empty();
+        !self.is_draining() && has_state
     }
 
     /// Makes the gateway report that it is not ready for new connections.
@@ -155,8 +156,8 @@
 
     /// Records a request for a service, which adds to its retry budget.
     pub fn deposit_retry(&self, service: &Service) {
-        let (now, terms) = (self.clock.now(), self.state.options().budget);
-        self.budget(service, |budget| budget.record_request(now, &terms));
+        let (now, options) = (self.clock.now(), self.state.options().budget);
+        self.budget(service, |budget| budget.record_request(now, &options));
     }
 
     /// Records a request for a service in its demand.
@@ -178,10 +179,10 @@
     /// Returns whether the retry budget allows another attempt of a request, and records the
     /// attempt if it does.
     pub fn withdraw_retry(&self, service: &Service) -> bool {
-        let (now, terms) = (self.clock.now(), self.state.options().budget);
+        let (now, options) = (self.clock.now(), self.state.options().budget);
         let gateways = self.state.view().gateways;
         self.budget(service, |budget| {
-            let allowed = budget.allows_retry(now, &terms, gateways);
+            let allowed = budget.allows_retry(now, &options, gateways);
             if allowed {
                 budget.record_retry(now);
             }
--- a/src/cinderspoke/gateway/crash.rs
+++ b/src/cinderspoke/gateway/crash.rs
@@ -43,7 +43,7 @@
     fingerprint: Fingerprint,
     // When the request was sent and the connection broke off, by the gateway's clock.
     sent: Duration,
-    broke: Duration,
+    disconnected: Duration,
 }
 
 /// Finds out whether an endpoint crashed when the connection of a request broke off.
@@ -63,7 +63,7 @@
         request: parsed.call.id.clone(),
         fingerprint: parsed.fingerprint(),
         sent,
-        broke: context.clock.now(),
+        disconnected: context.clock.now(),
     };
     let is_suspected = context.state.suspects().is_suspected(broken.fingerprint);
     let investigation = tokio::spawn(async move {
@@ -93,15 +93,15 @@
             id: rand::random(),
             endpoint: self.target.name.clone(),
             sent: self.sent,
-            disconnected: self.broke,
+            disconnected: self.disconnected,
         };
-        let news = self.context.state.record_crash(self.fingerprint, &crash);
+        let change = self.context.state.record_crash(self.fingerprint, &crash);
         tracing::info!(
             id = %self.request,
             endpoint = %self.target.name,
             fingerprint = %self.fingerprint,
-            after_ms = self.broke.saturating_sub(self.sent).as_millis() as u64,
-            held = news == Change::Quarantined,
+            after_ms = self.disconnected.saturating_sub(self.sent).as_millis() as u64,
+            held = change == Change::Quarantined,
             "endpoint crashed while it ran a request"
         );
     }
--- a/src/cinderspoke/gateway/refusal.rs
+++ b/src/cinderspoke/gateway/refusal.rs
@@ -10,10 +10,10 @@
 
 use super::context::Context;
 
-/// The retry delay that callers are told unless a better estimate is known.
+/// The retry delay in responses to callers unless a better estimate is known.
 pub const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The retry delay that callers are told when another gateway can serve them at once.
+/// The retry delay in responses to callers when another gateway can serve them at once.
 pub const RETRY_AFTER_ELSEWHERE: Duration = Duration::from_millis(20);
 
 /// The body of a response to a caller.
@@ -25,7 +25,7 @@
     pub status: StatusCode,
     /// The reason, written to the log and to the response body.
     pub reason: &'static str,
-    /// The delay after which the caller may retry; none if the caller is told none.
+    /// The delay after which the caller may retry; none if the response names none.
     pub retry_after: Option<Duration>,
 }
 
--- a/src/cinderspoke/gateway/region.rs
+++ b/src/cinderspoke/gateway/region.rs
@@ -27,9 +27,9 @@
             let revision = inner.configuration.revision.max(summary.configuration_revision);
             inner.configuration.revision = revision;
         }
-        let is_news = inner.lag.record(version, now) && version > in_force;
+        let is_newer = inner.lag.record(version, now) && version > in_force;
         drop(inner);
-        if is_news {
+        if is_newer {
             tracing::info!(version, in_force, %from, "a newer configuration was announced");
         }
         is_new
--- a/src/cinderspoke/gateway/relay.rs
+++ b/src/cinderspoke/gateway/relay.rs
@@ -329,8 +329,8 @@
     /// that a starting gateway soon finds the readers of its region.
     fn digest_for(&self, region: &Region) -> Vec<u8> {
         match self.state.gateways_in(region) {
-            near if near.is_empty() => self.digest(),
-            near => self.digest_naming(near),
+            gateways if gateways.is_empty() => self.digest(),
+            gateways => self.digest_naming(gateways),
         }
     }
 
--- a/src/cinderspoke/gateway/versions.rs
+++ b/src/cinderspoke/gateway/versions.rs
@@ -94,16 +94,17 @@
     }
 
     /// How much longer requests may begin with a model's version at an endpoint; `None` for no
-    /// limit. `narrow` tells whether its link is narrow, which leaves less time.
+    /// limit. `is_congested` says whether its link is congested, which leaves
+    /// less time.
     #[must_use]
     pub fn version_time_left(
         &self,
         model: &Model,
         version: Version,
-        narrow: bool,
+        is_congested: bool,
     ) -> Option<Duration> {
         let overlap = self.options().overlap;
-        let overlap = if narrow { overlap.narrow } else { overlap.clear };
+        let overlap = if is_congested { overlap.narrow } else { overlap.clear };
         self.lock().timeline.remaining(model, version, overlap, self.clock().now())
     }
 }
