--- a/crates/ports/src/client.rs
+++ b/crates/ports/src/client.rs
@@ -36,9 +36,9 @@
 pub enum Error {
     /// {0} could not be reached, so nothing was sent: {1}
     Connect(SocketAddr, String),
-    /// no complete answer arrived from {0}: {1}
+    /// no whole answer came from {0}: {1}
     Broken(SocketAddr, String),
-    /// no answer arrived from {0} within {1:?}
+    /// no answer came from {0} within {1:?}
     Timeout(SocketAddr, Duration),
     /// {0} answered {1}: {2}
     Status(SocketAddr, StatusCode, String, Option<Duration>),
--- a/src/cinderspoke/entry/callers/attempt.rs
+++ b/src/cinderspoke/entry/callers/attempt.rs
@@ -119,7 +119,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(error @ Error::Connect(..))) => return Err((Failure::NotSent, error.to_string())),
         Ok(Err(error)) => return Err((Failure::Lost, error.to_string())),
-        Err(_) => return Err((Failure::Lost, "it did not start to answer in time".into())),
+        Err(_) => return Err((Failure::Lost, "its answer did not start in time".into())),
     };
     let outcome = response.headers().get(OUTCOME).map(HeaderValue::as_bytes);
     match outcome {
@@ -128,7 +128,7 @@
             let responder = Responder { instance, manifest, _in_flight: in_flight };
             Ok((response, responder))
         }
-        Some(b"not-run") => Err((Failure::Refused, "it refused the request".into())),
+        Some(b"not-run") => Err((Failure::Refused, "it did not take the request".into())),
         _ => Err((Failure::Lost, format!("it answered {}", response.status()))),
     }
 }
--- a/src/cinderspoke/entry/callers/parse.rs
+++ b/src/cinderspoke/entry/callers/parse.rs
@@ -154,17 +154,17 @@
     match timeout(RECEIVE_TIMEOUT, limited.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            let reason = format!("the body is larger than {}", context.parts.body_limit);
+            let reason = format!("the body is above {}", context.parts.body_limit);
             Err(Refusal::invalid(StatusCode::PAYLOAD_TOO_LARGE, "too-large", reason))
         }
         Ok(Err(error)) => {
-            let reason = format!("the body is incomplete: {error}");
+            let reason = format!("the body broke off: {error}");
             Err(Refusal::invalid(StatusCode::BAD_REQUEST, "broken", reason))
         }
         Err(_) => Err(Refusal::invalid(
             StatusCode::REQUEST_TIMEOUT,
             "too-slow",
-            "the body was not received in time",
+            "the body came too slowly",
         )),
     }
 }
@@ -172,11 +172,11 @@
 /// Checks the form of a request to a model and returns the prefix of its prompt.
 fn read_prompt(method: &Method, path: &str, body: &Bytes) -> Result<Key, Refusal> {
     if method != Method::POST || path != "/generate" {
-        let reason = format!("a model accepts POST /generate, not {method} {path}");
+        let reason = format!("a model answers POST /generate, not {method} {path}");
         return Err(Refusal::invalid(StatusCode::NOT_FOUND, "no-call", reason));
     }
     let request: Generate = serde_json::from_slice(body).map_err(|error| {
-        let reason = format!("the body is not a valid request to a model: {error}");
+        let reason = format!("the body is no request to a model: {error}");
         Refusal::invalid(StatusCode::BAD_REQUEST, "bad-request", reason)
     })?;
     let prefix: String = request.prompt.chars().take(PREFIX_LENGTH).collect();
--- a/src/cinderspoke/gateway/inner.rs
+++ b/src/cinderspoke/gateway/inner.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cinderspoke_core::gateway::catalog::Catalog;
-use cinderspoke_core::gateway::directory::{Directory, Entry, Tracker};
+use cinderspoke_core::gateway::directory::{self, Directory, Entry, Tracker};
 use cinderspoke_core::gateway::evacuation;
 use cinderspoke_core::gateway::fact::{Fact, Revision};
 use cinderspoke_core::gateway::lag::Lag;
@@ -154,7 +154,12 @@
         .map(|(name, entry)| {
             let Entry { service, address, zone, slots, state, start, cold, .. } = entry;
             let is_cold = !cold.is_zero();
-            format!("{name} {service} {address} {zone} {slots} {state:?} {start:?} {is_cold};")
+            // Gateways compare these hashes, so the text is part of their protocol.
+            let state = match state {
+                directory::State::Ready => "Ready",
+                directory::State::Draining => "Leaving",
+            };
+            format!("{name} {service} {address} {zone} {slots} {state} {start:?} {is_cold};")
         })
         .collect();
     Key::of(&text).as_u64()
