--- a/src/cinderspoke/gateway/outstanding.rs
+++ b/src/cinderspoke/gateway/outstanding.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Publishes changes after [`BATCH_DELAY`], and at each [`REPEAT`] the state of all endpoints
-/// that have outstanding requests.
+/// Publishes changes after [`BATCH_DELAY`], and at each [`REPEAT_INTERVAL`] the state of all
+/// endpoints that have outstanding requests.
 pub async fn publish(state: &State, socket: &UdpSocket, own: SocketAddr) {
     let changes = state.outstanding_changes();
     let mut repeat = Instant::now() + REPEAT_INTERVAL;
